--- a/bench/accesscost.ts
+++ b/bench/accesscost.ts
@@ -1,6 +1,6 @@
 import { VirtualClock, type CustomerId, type HostId, type KeyHash } from '../src/base/index.js';
 import type { AccessTable, CustomerSpec, Quota } from '../src/core/access/index.js';
-import { judge, type RouteTable } from '../src/core/routetable/index.js';
+import { decideAccess, type RouteTable } from '../src/core/routetable/index.js';
 import { Charge, QuotaDesk } from '../src/direct/quota/index.js';
 import { bearerHash, hashKey } from '../src/shell/hash/index.js';
 import type { Bench } from './bench.js';
@@ -55,7 +55,7 @@
   const ms = timed(() => {
     for (let at = 0; at < REQUESTS; at += 1) {
       const keyHash = bearerHash(authorization);
-      const said = judge(table, { host: HOST, path: '/r/1', keyHash });
+      const said = decideAccess(table, { host: HOST, path: '/r/1', keyHash });
       if (said.type !== 'allowed') continue;
       const charge = new Charge(desk, clock, said.customer, COST);
       void charge.pay(0);
--- a/bench/experiment/corequeue.ts
+++ b/bench/experiment/corequeue.ts
@@ -1,4 +1,4 @@
-import { admission, startAdmission, tellLoad } from '../../src/core/admission/index.js';
+import { admission, startAdmission, reportLoad } from '../../src/core/admission/index.js';
 import type { MakeQueue } from './queuepolicy.js';
 
 /** The sidecar's own admission core. */
@@ -6,6 +6,6 @@
   const state = startAdmission(policy);
   return {
     step: (event, nowMs) => admission(state, event, nowMs).effects,
-    load: (atMs) => ({ ...tellLoad(state), atMs }),
+    load: (atMs) => ({ ...reportLoad(state), atMs }),
   };
 };
--- a/bench/sharedrate.ts
+++ b/bench/sharedrate.ts
@@ -19,7 +19,7 @@
   let callsPerS = 0;
   for (const seed of SEEDS) {
     const askedPerS = Math.max(LEAST_PER_S, PRESS * perS);
-    const world = new RateWorld({ entryCount, limits: [perS, perS], askedPerS, way, seed });
+    const world = new RateWorld({ entryCount, limits: [perS, perS], askedPerS, method: way, seed });
     await world.run(FOR_S * 1000);
     fullest = Math.max(fullest, world.fullestWindow(0), world.fullestWindow(1));
     used = Math.min(used, world.used());
--- a/src/core/admission/account.ts
+++ b/src/core/admission/account.ts
@@ -1,11 +1,11 @@
-import type { Inflow } from './inflow.js';
+import type { DecayingRate } from './decayingrate.js';
 
-/** What one customer has here. */
+/** Usage of one customer at this upstream. */
 export interface Account {
-  /** Its part of the upstream by the shares of all customers; from 0 to 1. */
-  part: number;
-  /** Its requests that wait. */
+  /** Its share divided by the shares of all customers; from 0 to 1. */
+  fraction: number;
+  /** Number of its queued requests. */
   waiting: number;
-  /** Work that was started lately: within its share, beyond it, and of the background. */
-  readonly used: Readonly<Record<'within' | 'beyond' | 'background', Inflow>>;
+  /** Recently started work: within its share, beyond its share, and background work. */
+  readonly used: Readonly<Record<'within' | 'beyond' | 'background', DecayingRate>>;
 }
--- a/src/core/admission/accounts.ts
+++ b/src/core/admission/accounts.ts
@@ -1,81 +1,77 @@
 import type { Ms } from '../../base/index.js';
 import type { Account } from './account.js';
 import type { AdmissionPolicy } from './admissionpolicy.js';
-import { Inflow } from './inflow.js';
+import { DecayingRate } from './decayingrate.js';
 
-/** Shares are counted over such a time: a burst is not yet an excess. */
-const MEMORY_MS = 10_000;
-/** What remains of the queue beside a customer's share: it may fill so much of that as well. */
-const QUEUE_PART_OF_OTHERS = 0.5;
+/** Time constant over which usage is measured, so that a short burst does not count as exceeding the share. */
+const TIME_CONSTANT_MS = 10_000;
+/** A customer may fill its own share of the queue and this fraction of the rest. */
+const QUEUE_FRACTION_OF_OTHERS = 0.5;
 
-/** How customers are compared; the lowest goes first. */
-type Compare = (account: Account) => number;
+/** Rank of a customer; the lowest goes first. */
+type RankOf = (account: Account) => number;
 
-/** What each customer uses of this upstream, against its share. */
+/** Tracks what each customer uses of this upstream, compared with its share. */
 export class Accounts {
   private readonly accounts = new Map<string, Account>();
 
   private parts: ReadonlyMap<string, number> = new Map();
 
-  private leastPart = 1;
+  private smallestFraction = 1;
 
   configure({ customers }: AdmissionPolicy): void {
     const sum = customers.reduce((total, { share }) => total + share, 0);
     this.parts = new Map<string, number>(customers.map(({ id, share }) => [id, share / sum]));
-    this.leastPart = Math.min(1, ...this.parts.values());
-    for (const [customer, account] of this.accounts) account.part = this.partOf(customer);
+    this.smallestFraction = Math.min(1, ...this.parts.values());
+    for (const [customer, account] of this.accounts) account.fraction = this.fractionOf(customer);
   }
 
   of(customer: string): Account {
     const account = this.accounts.get(customer) ?? {
-      part: this.partOf(customer),
+      fraction: this.fractionOf(customer),
       waiting: 0,
       used: {
-        within: new Inflow(MEMORY_MS),
-        beyond: new Inflow(MEMORY_MS),
-        background: new Inflow(MEMORY_MS),
+        within: new DecayingRate(TIME_CONSTANT_MS),
+        beyond: new DecayingRate(TIME_CONSTANT_MS),
+        background: new DecayingRate(TIME_CONSTANT_MS),
       },
     };
     this.accounts.set(customer, account);
     return account;
   }
 
-  /** Whether a customer has used less than its share of so many places lately. */
-  isWithin(customer: string, limit: number, nowMs: Ms): boolean {
-    const { part, used } = this.of(customer);
-    return used.within.at(nowMs) < part * limit;
+  /** True if a customer has recently used less than its share of `limit` slots. */
+  isWithinShare(customer: string, limit: number, nowMs: Ms): boolean {
+    const { fraction, used } = this.of(customer);
+    return used.within.at(nowMs) < fraction * limit;
   }
 
-  /** The customer that has used least of its share, if it has not used it up. */
-  nextWithin(customers: Iterable<string>, limit: number, nowMs: Ms): string | undefined {
-    return this.least(customers, ({ part, used }) => used.within.at(nowMs) / part, limit);
+  /** Returns the customer that has used least of its share, unless all have used theirs up. */
+  nextWithinShare(customers: Iterable<string>, limit: number, nowMs: Ms): string | undefined {
+    return this.least(customers, ({ fraction, used }) => used.within.at(nowMs) / fraction, limit);
   }
 
-  /** The customer that has had least beyond its share: all count alike there. */
-  nextBeyond(customers: Iterable<string>, nowMs: Ms): string | undefined {
+  /** Returns the customer that has received least beyond its share; shares carry no weight here. */
+  nextBeyondShare(customers: Iterable<string>, nowMs: Ms): string | undefined {
     return this.least(customers, ({ used }) => used.beyond.at(nowMs));
   }
 
-  /** The customer that has had least background work, against its share. */
+  /** Returns the customer that has received least background work in proportion to its share. */
   nextBackground(customers: Iterable<string>, nowMs: Ms): string | undefined {
-    return this.least(customers, ({ part, used }) => used.background.at(nowMs) / part);
+    return this.least(customers, ({ fraction, used }) => used.background.at(nowMs) / fraction);
   }
 
-  /** Requests of one customer that may wait here. */
+  /** Returns how many requests of one customer may be queued. */
   queueLimit(customer: string, queueLimit: number): number {
-    const { part } = this.of(customer);
-    return queueLimit * (part + (1 - part) * QUEUE_PART_OF_OTHERS);
+    const { fraction } = this.of(customer);
+    return queueLimit * (fraction + (1 - fraction) * QUEUE_FRACTION_OF_OTHERS);
   }
 
-  private least(
-    customers: Iterable<string>,
-    compare: Compare,
-    below = Infinity,
-  ): string | undefined {
+  private least(customers: Iterable<string>, rankOf: RankOf, below = Infinity): string | undefined {
     let least: string | undefined;
     let leastValue = below;
     for (const customer of customers) {
-      const value = compare(this.of(customer));
+      const value = rankOf(this.of(customer));
       if (value >= leastValue) continue;
       least = customer;
       leastValue = value;
@@ -83,7 +79,7 @@
     return least;
   }
 
-  private partOf(customer: string): number {
-    return this.parts.get(customer) ?? this.leastPart;
+  private fractionOf(customer: string): number {
+    return this.parts.get(customer) ?? this.smallestFraction;
   }
 }
--- a/src/core/admission/admission.ts
+++ b/src/core/admission/admission.ts
@@ -5,26 +5,29 @@
 import type { AdmissionEvent } from './admissionevent.js';
 import type { AdmissionState } from './admissionstate.js';
 import { dispatch } from './dispatch.js';
-import { leave } from './leave.js';
-import { offered } from './offered.js';
-import { PaceLimit } from './pacelimit.js';
+import { withdraw } from './withdraw.js';
+import { enqueueOrRefuse } from './enqueueorrefuse.js';
+import { ConcurrencyLimit } from './concurrencylimit.js';
 import { refuseWaiting } from './refusewaiting.js';
 import { review } from './review.js';
 
-type Of<Type extends AdmissionEvent['type']> = Extract<AdmissionEvent, { readonly type: Type }>;
+type EventOf<Type extends AdmissionEvent['type']> = Extract<
+  AdmissionEvent,
+  { readonly type: Type }
+>;
 
 type Handlers = {
   readonly [Type in AdmissionEvent['type']]: (
     state: AdmissionState,
-    event: Of<Type>,
+    event: EventOf<Type>,
     nowMs: Ms,
   ) => AdmissionEffect[];
 };
 
-function configure(state: AdmissionState, { policy }: Of<'configured'>): AdmissionEffect[] {
+function configure(state: AdmissionState, { policy }: EventOf<'configured'>): AdmissionEffect[] {
   const { slots, paceGoalMs } = state.policy;
   if (slots !== policy.slots || paceGoalMs !== policy.paceGoalMs) {
-    state.pace = new PaceLimit(policy.slots, policy.paceGoalMs);
+    state.concurrency = new ConcurrencyLimit(policy.slots, policy.paceGoalMs);
   }
   state.policy = policy;
   state.kinds = new Map<string, Kind>(policy.kinds.map((kind) => [kind.name, kind]));
@@ -32,65 +35,65 @@
   return [];
 }
 
-function answering(state: AdmissionState, { requestId }: Of<'answering'>, nowMs: Ms): void {
+function answering(state: AdmissionState, { requestId }: EventOf<'answering'>, nowMs: Ms): void {
   const running = state.running.get(requestId);
   if (!running || running.answering) return;
   running.answering = true;
   const { offer } = running.waiting;
-  if (!offer.resumed) state.estimates.learnFirst(offer, nowMs - running.startedAtMs);
+  if (!offer.resumed) state.estimates.learnLatency(offer, nowMs - running.startedAtMs);
 }
 
-function paced(state: AdmissionState, { gapMs, tokenCount }: Of<'paced'>, nowMs: Ms): void {
+function onPaced(state: AdmissionState, { gapMs, tokenCount }: EventOf<'paced'>, nowMs: Ms): void {
   const running = state.runningMs / Math.max(1, nowMs - state.pacedAtMs);
   state.runningMs = 0;
   state.pacedAtMs = nowMs;
   if (tokenCount === 0) return;
   state.estimates.learnPace(gapMs);
-  state.pace.learn(gapMs, running, tokenCount);
+  state.concurrency.learn(gapMs, running, tokenCount);
 }
 
-/** Keeps count of how many run over time. */
+/** Adds to the integral of running requests over time, from which the mean concurrency is computed. */
 function count(state: AdmissionState, nowMs: Ms): void {
   state.runningMs += state.running.size * (nowMs - state.countedAtMs);
   state.countedAtMs = nowMs;
 }
 
-function release(state: AdmissionState, event: Of<'released'>, nowMs: Ms): AdmissionEffect[] {
+function release(state: AdmissionState, event: EventOf<'released'>, nowMs: Ms): AdmissionEffect[] {
   const running = state.running.get(event.requestId);
   if (!running) return [];
   const { waiting, startedAtMs, longJob, preempting } = running;
   const { offer, holdMs } = waiting;
   const heldMs = nowMs - startedAtMs;
   state.running.delete(event.requestId);
-  state.releaseRate -= 1 / holdMs;
-  if (state.running.size === 0) state.releaseRate = 0;
+  state.slotsFreedPerMs -= 1 / holdMs;
+  if (state.running.size === 0) state.slotsFreedPerMs = 0;
   if (longJob) state.longRunning -= 1;
   if (preempting) state.preempting -= 1;
   waiting.counted?.add(heldMs - holdMs, nowMs);
   if (event.outcome !== 'answered' || offer.resumed) return [];
-  if (state.policy.type === 'plain') state.estimates.learnFirst(offer, heldMs);
+  if (state.policy.type === 'plain') state.estimates.learnLatency(offer, heldMs);
   else state.estimates.learnTokens(offer, event.tokenCount);
   return [];
 }
 
-function abandon(state: AdmissionState, { requestId }: Of<'abandoned'>): AdmissionEffect[] {
+function abandon(state: AdmissionState, { requestId }: EventOf<'abandoned'>): AdmissionEffect[] {
   const waiting = state.waiting.get(requestId);
-  if (waiting) leave(state, waiting);
+  if (waiting) withdraw(state, waiting);
   return [];
 }
 
-/** The model has gone: nobody who waits for it can be served here. */
+/** Refuses all queued requests for a model that this upstream no longer holds. */
 function refuseModel(state: AdmissionState, model: string, nowMs: Ms): AdmissionEffect[] {
   const effects: AdmissionEffect[] = [];
   for (const waiting of [...state.waiting.values()]) {
     if (waiting.offer.model !== model) continue;
-    leave(state, waiting);
+    withdraw(state, waiting);
     effects.push(refuseWaiting(state, waiting, 'model-absent', nowMs));
   }
   return effects;
 }
 
-/** The model is ready: who waited for it waits for a place now. */
+/** Moves the requests that waited for a model, now ready, to their lanes. */
 function unpark(state: AdmissionState, model: string): void {
   for (const waiting of state.parked.get(model) ?? []) {
     waiting.place = 'lane';
@@ -99,7 +102,7 @@
   state.parked.delete(model);
 }
 
-function changeModel(state: AdmissionState, event: Of<'model'>, nowMs: Ms): AdmissionEffect[] {
+function changeModel(state: AdmissionState, event: EventOf<'model'>, nowMs: Ms): AdmissionEffect[] {
   const { model, phase, readyInMs } = event;
   state.models.set(model, { phase, readyAtMs: nowMs + readyInMs });
   if (phase === 'absent') return refuseModel(state, model, nowMs);
@@ -109,13 +112,13 @@
 
 const HANDLERS: Handlers = {
   configured: configure,
-  offered: (state, { offer }, nowMs) => offered(state, offer, nowMs),
+  offered: (state, { offer }, nowMs) => enqueueOrRefuse(state, offer, nowMs),
   answering: (state, event, nowMs) => {
     answering(state, event, nowMs);
     return [];
   },
   paced: (state, event, nowMs) => {
-    paced(state, event, nowMs);
+    onPaced(state, event, nowMs);
     return [];
   },
   released: release,
@@ -124,8 +127,8 @@
   ticked: () => [],
 };
 
-/** Asks to be woken for the next review, if that is sooner than the wake that is already set. */
-function wake(state: AdmissionState, nowMs: Ms): AdmissionEffect[] {
+/** Schedules a wake-up for the next review if it is due before the one already scheduled. */
+function scheduleWake(state: AdmissionState, nowMs: Ms): AdmissionEffect[] {
   const atMs = state.reviews.peekKey();
   if (state.wakeAtMs <= nowMs) state.wakeAtMs = Infinity;
   if (atMs >= state.wakeAtMs) return [];
@@ -133,7 +136,7 @@
   return [{ type: 'wake', atMs }];
 }
 
-/** Admission and queue of one upstream. The state is changed in place: see `AdmissionState`. */
+/** Runs admission control and the queue of one upstream. Mutates the state in place: see `AdmissionState`. */
 export const admission: Step<AdmissionState, AdmissionEvent, AdmissionEffect> = (
   state,
   event,
@@ -148,6 +151,6 @@
   const effects = handle(state, event, nowMs);
   effects.push(...dispatch(state, nowMs));
   effects.push(...review(state, nowMs));
-  effects.push(...wake(state, nowMs));
+  effects.push(...scheduleWake(state, nowMs));
   return { state, effects };
 };
--- a/src/core/admission/admissioneffect.ts
+++ b/src/core/admission/admissioneffect.ts
@@ -1,17 +1,17 @@
 import type { Ms } from '../../base/index.js';
 
-/** What admission decides. */
+/** A decision of admission control. */
 export type AdmissionEffect =
   | { readonly type: 'start'; readonly requestId: string }
-  /** The request did not run and will not: its final answer, at once. */
+  /** Refuses the request at once and for good; it has not run and will not run here. */
   | {
       readonly type: 'refuse';
       readonly requestId: string;
       readonly failure: 'deadline-unmeetable' | 'queue-full' | 'model-absent';
-      /** When a like request would probably be taken. */
+      /** Time after which a similar request would probably be admitted. */
       readonly retryAfterMs: Ms;
     }
-  /** The running request has to give its place back and be offered again. */
+  /** The running request has to release its slot and be offered again. */
   | { readonly type: 'preempt'; readonly requestId: string }
-  /** Send `ticked` at this time; replaces the wake before it. */
+  /** Asks for a `ticked` event at this time; replaces the previous wake-up. */
   | { readonly type: 'wake'; readonly atMs: Ms };
--- a/src/core/admission/admissionevent.ts
+++ b/src/core/admission/admissionevent.ts
@@ -2,24 +2,24 @@
 import type { AdmissionPolicy } from './admissionpolicy.js';
 import type { Offer } from './offer.js';
 
-/** What admission is told. */
+/** An event that admission control reacts to. */
 export type AdmissionEvent =
   | { readonly type: 'configured'; readonly policy: AdmissionPolicy }
   | { readonly type: 'offered'; readonly offer: Offer }
-  /** The first token of a running request has come. */
+  /** A running request has produced its first token. */
   | { readonly type: 'answering'; readonly requestId: string }
-  /** Time between tokens that 95 in 100 kept since the last such event. */
+  /** The 95th percentile of the time between tokens since the previous event of this type. */
   | { readonly type: 'paced'; readonly gapMs: Ms; readonly tokenCount: number }
   | {
       readonly type: 'released';
       readonly requestId: string;
       readonly outcome: 'answered' | 'broken' | 'cancelled' | 'preempted';
-      /** Tokens that came while the request held its place. */
+      /** Tokens produced while the request held its slot. */
       readonly tokenCount: number;
     }
-  /** The caller of a waiting request has gone. */
+  /** The caller of a queued request has disconnected. */
   | { readonly type: 'abandoned'; readonly requestId: string }
-  /** A model's place in memory has changed. Models that were never named count as ready. */
+  /** A model was loaded, is being loaded, or was unloaded. Models never reported count as ready. */
   | {
       readonly type: 'model';
       readonly model: string;
@@ -27,5 +27,5 @@
       /** For `loading`: expected time until it is ready. */
       readonly readyInMs: Ms;
     }
-  /** Time has passed: sent at the time of the last `wake` effect. */
+  /** Sent at the time of the last `wake` effect. */
   | { readonly type: 'ticked' };
--- a/src/core/admission/admissionpolicy.ts
+++ b/src/core/admission/admissionpolicy.ts
@@ -1,17 +1,17 @@
 import type { Ms } from '../../base/index.js';
 import type { Customer, Kind } from '../document/index.js';
 
-/** What the service document says about admission at one upstream. */
+/** Admission settings of one upstream, taken from the service document. */
 export interface AdmissionPolicy {
   readonly type: 'engine' | 'plain';
   readonly kinds: readonly Kind[];
   readonly customers: readonly Pick<Customer, 'id' | 'share'>[];
-  /** Requests at once, as declared; for engines the measured token pace corrects it. */
+  /** Declared number of concurrent requests; for engines it is adjusted by the measured time between tokens. */
   readonly slots: number;
-  /** Longest time between tokens for 95 in 100. */
+  /** Target for the 95th percentile of the time between tokens. */
   readonly paceGoalMs: Ms;
-  /** Long jobs at once. */
+  /** Maximum number of concurrent long jobs. */
   readonly longJobs: number;
-  /** Requests that may wait. */
+  /** Maximum number of queued requests. */
   readonly queueLimit: number;
 }
--- a/src/core/admission/dispatch.ts
+++ b/src/core/admission/dispatch.ts
@@ -5,24 +5,24 @@
 import { LANES } from './lanes.js';
 import { limitOf } from './limitof.js';
 import { refuseWaiting } from './refusewaiting.js';
-import { start } from './start.js';
+import { startRequest } from './startrequest.js';
 import type { Waiting } from './waiting.js';
 
 const URGENT = 0;
 const NORMAL = 2;
 const FIRST_BACKGROUND = 4;
-/** Part of its share up to which a customer counts as having used little. */
-const LITTLE = 0.5;
+/** Fraction of its share below which a customer counts as underusing it. */
+const UNDERUSED = 0.5;
 
-/** Takes the next request of a lane; undefined when there is none that may start. */
+/** Dequeues the next request of a lane; undefined if none may start. */
 type Take = () => Waiting | undefined;
 
-function hasPlace(state: AdmissionState, index: number): boolean {
+function hasFreeSlot(state: AdmissionState, index: number): boolean {
   if (state.running.size >= limitOf(state, index)) return false;
   return !LANES[index]!.longJobs || state.longRunning < state.policy.longJobs;
 }
 
-/** Starts what a lane gives out while there are places. */
+/** Starts requests that `take` returns while slots are free. */
 function fill(
   state: AdmissionState,
   index: number,
@@ -31,7 +31,7 @@
   nowMs: Ms,
 ): AdmissionEffect[] {
   const effects: AdmissionEffect[] = [];
-  while (hasPlace(state, index)) {
+  while (hasFreeSlot(state, index)) {
     const next = take();
     if (!next) break;
     if (next.latestStartAtMs < nowMs) {
@@ -40,40 +40,40 @@
     }
     next.counted = state.accounts.of(next.offer.customer).used[use];
     next.counted.add(next.holdMs, nowMs);
-    effects.push(start(state, next, nowMs));
+    effects.push(startRequest(state, next, nowMs));
   }
   return effects;
 }
 
-/** Customers' work within their shares, lane by lane: who has used least of its share goes first. */
+/** Starts a lane's requests within their customers' shares; the customer that used least of its share goes first. */
 function fillWithin(state: AdmissionState, index: number, nowMs: Ms): AdmissionEffect[] {
-  const { accounts, pace, lanes } = state;
+  const { accounts, concurrency, lanes } = state;
   const lane = lanes[index]!;
   const take = () => {
-    const customer = accounts.nextWithin(lane.customers(), pace.limit, nowMs);
+    const customer = accounts.nextWithinShare(lane.customers(), concurrency.limit, nowMs);
     return customer === undefined ? undefined : lane.takeOf(customer);
   };
   return fill(state, index, 'within', take, nowMs);
 }
 
 /**
- * Who has used little of its share does not wait for a place below the limit: it takes one of those that
- * are kept for urgent work, so that nobody waits long behind what others have running.
+ * Starts requests of customers that underuse their share. These may take slots reserved for urgent work instead of
+ * waiting for a slot below the limit, so that they do not wait long behind the running requests of other customers.
  */
-function fillLittleUsed(state: AdmissionState, nowMs: Ms): AdmissionEffect[] {
-  const { accounts, pace, lanes } = state;
+function fillUnderused(state: AdmissionState, nowMs: Ms): AdmissionEffect[] {
+  const { accounts, concurrency, lanes } = state;
   const lane = lanes[NORMAL]!;
   const take = () => {
-    const limit = LITTLE * pace.limit;
-    const customer = accounts.nextWithin(lane.customers(), limit, nowMs);
+    const limit = UNDERUSED * concurrency.limit;
+    const customer = accounts.nextWithinShare(lane.customers(), limit, nowMs);
     return customer === undefined ? undefined : lane.takeOf(customer);
   };
   return fill(state, URGENT, 'within', take, nowMs);
 }
 
 /**
- * What customers offer beyond their shares uses what the others leave. Each customer counts alike here,
- * so that the largest does not take it all; its urgent work goes before its own other work.
+ * Starts requests beyond their customers' shares in the capacity that other customers leave unused. All customers
+ * count equally here, so that the largest does not take everything; a customer's urgent requests go before its others.
  */
 function fillBeyond(state: AdmissionState, nowMs: Ms): AdmissionEffect[] {
   const { accounts, lanes } = state;
@@ -81,7 +81,7 @@
   const normal = lanes[NORMAL]!;
   const take = () => {
     const customers = new Set([...urgent.customers(), ...normal.customers()]);
-    const customer = accounts.nextBeyond(customers, nowMs);
+    const customer = accounts.nextBeyondShare(customers, nowMs);
     return customer === undefined
       ? undefined
       : (urgent.takeOf(customer) ?? normal.takeOf(customer));
@@ -89,7 +89,7 @@
   return fill(state, NORMAL, 'beyond', take, nowMs);
 }
 
-/** Background work, and long jobs beyond their customers' shares. */
+/** Starts background work, and long jobs beyond their customers' shares. */
 function fillBackground(state: AdmissionState, index: number, nowMs: Ms): AdmissionEffect[] {
   const lane = state.lanes[index]!;
   const take = () => {
@@ -99,13 +99,13 @@
   return fill(state, index, 'background', take, nowMs);
 }
 
-/** Starts what may start now: no place stays free while somebody may use it. */
+/** Starts all requests that may start now: no slot stays free while a queued request may use it. */
 export function dispatch(state: AdmissionState, nowMs: Ms): AdmissionEffect[] {
   const effects: AdmissionEffect[] = [];
   for (let index = 0; index < FIRST_BACKGROUND; index += 1) {
     if (state.lanes[index]!.count > 0) effects.push(...fillWithin(state, index, nowMs));
   }
-  if (state.lanes[NORMAL]!.count > 0) effects.push(...fillLittleUsed(state, nowMs));
+  if (state.lanes[NORMAL]!.count > 0) effects.push(...fillUnderused(state, nowMs));
   const beyond = state.lanes[URGENT]!.count + state.lanes[NORMAL]!.count;
   if (beyond > 0) effects.push(...fillBeyond(state, nowMs));
   for (let index = 1; index < LANES.length; index += 1) {
--- a/src/core/admission/offered.ts
+++ b/src/core/admission/enqueueorrefuse.ts
@@ -8,30 +8,30 @@
 import { refuseWaiting } from './refusewaiting.js';
 import type { Waiting } from './waiting.js';
 
-/** For a kind that the document no longer names. */
+/** Used for a kind that the document no longer contains. */
 const DEFAULT_KIND = { priority: 'normal', longJob: false } as const;
-/** Part of the queue that long jobs and background work may fill. */
-const BACKGROUND_PART = 0.5;
+/** Fraction of the queue that long jobs and background work may fill. */
+const BACKGROUND_FRACTION = 0.5;
 
 /**
- * An estimate of more than this part of the time that a kind allows is not believed: who is never tried
- * can never be found to be quicker.
+ * Upper bound on the estimated time of a request, as a fraction of its kind's deadline. Without it, requests that are
+ * estimated as too slow would never run, and the estimate would never be corrected.
  */
-const LARGEST_NEED_PART = 0.5;
+const MAX_REQUIRED_FRACTION = 0.5;
 
 function describe(state: AdmissionState, offer: Offer, nowMs: Ms): Waiting {
   const deadlineAtMs = nowMs + offer.remainingMs;
   const longestMs = state.kinds.get(offer.kind)?.deadlineMs ?? offer.remainingMs;
-  const needMs = Math.min(state.estimates.needMs(offer), LARGEST_NEED_PART * longestMs);
+  const requiredMs = Math.min(state.estimates.requiredMs(offer), MAX_REQUIRED_FRACTION * longestMs);
   const holdMs = state.estimates.holdMs(offer);
   return {
     offer,
     lane: laneOf(state.kinds.get(offer.kind) ?? DEFAULT_KIND),
     offeredAtMs: nowMs,
     deadlineAtMs,
-    latestStartAtMs: offer.resumed ? Infinity : deadlineAtMs - needMs,
+    latestStartAtMs: offer.resumed ? Infinity : deadlineAtMs - requiredMs,
     holdMs,
-    worth: (state.kinds.get(offer.kind)?.weight ?? 1) / holdMs,
+    valuePerMs: (state.kinds.get(offer.kind)?.weight ?? 1) / holdMs,
     counted: undefined,
     place: 'lane',
   };
@@ -39,14 +39,14 @@
 
 function isFull({ waiting, policy, accounts }: AdmissionState, { lane, offer }: Waiting): boolean {
   const { background, longJobs } = LANES[lane]!;
-  const part = background || longJobs ? BACKGROUND_PART : 1;
-  if (waiting.size >= policy.queueLimit * part) return true;
+  const fraction = background || longJobs ? BACKGROUND_FRACTION : 1;
+  if (waiting.size >= policy.queueLimit * fraction) return true;
   const own = accounts.of(offer.customer).waiting;
   return own >= accounts.queueLimit(offer.customer, policy.queueLimit);
 }
 
-/** Why a request cannot be taken, if it cannot. One that has begun to answer always is. */
-function objection(
+/** Returns why a request must be refused, if so. One that has begun to answer is always accepted. */
+function refusalReason(
   state: AdmissionState,
   waiting: Waiting,
 ): Extract<AdmissionEffect, { type: 'refuse' }>['failure'] | undefined {
@@ -60,8 +60,8 @@
 }
 
 /**
- * Puts a request in its lane, or with those that wait for its model. It is reviewed in the same step if
- * it cannot start at once.
+ * Puts a request in its lane, or among those waiting for its model to load. It is reviewed in the same step if it
+ * cannot start at once.
  */
 function enqueue(state: AdmissionState, waiting: Waiting, nowMs: Ms): void {
   const { offer, lane, latestStartAtMs } = waiting;
@@ -78,10 +78,10 @@
   waiting.place = 'parked';
 }
 
-/** Takes a request, or refuses it at once. */
-export function offered(state: AdmissionState, offer: Offer, nowMs: Ms): AdmissionEffect[] {
+/** Queues a request, or refuses it at once. */
+export function enqueueOrRefuse(state: AdmissionState, offer: Offer, nowMs: Ms): AdmissionEffect[] {
   const waiting = describe(state, offer, nowMs);
-  const failure = objection(state, waiting);
+  const failure = refusalReason(state, waiting);
   state.inflows[waiting.lane]!.add(waiting.holdMs, nowMs);
   if (failure) return [refuseWaiting(state, waiting, failure, nowMs)];
   enqueue(state, waiting, nowMs);
--- a/src/core/admission/estimates.ts
+++ b/src/core/admission/estimates.ts
@@ -1,40 +1,40 @@
 import type { Ms } from '../../base/index.js';
-import { Average } from './average.js';
+import { MovingAverage } from './movingaverage.js';
 import { LinearFit } from './linearfit.js';
 import type { Offer } from './offer.js';
 
-const LEARN_PART = 0.05;
-const PACE_PART = 0.3;
-/** Until something has been measured. */
-const FIRST_GUESS_MS = 100;
-const TOKENS_GUESS = 100;
-/** Allowance for what varies, in mean deviations. */
+const TOKENS_WEIGHT = 0.05;
+const GAP_WEIGHT = 0.3;
+/** Defaults before the first measurement. */
+const DEFAULT_LATENCY_MS = 100;
+const DEFAULT_TOKENS = 100;
+/** Safety margin for variation, in mean absolute deviations. */
 const SAFETY_DEVIATIONS = 0.25;
 
-/** What requests of one model, or one route, cost: learnt from those that ran. */
+/** Cost of requests of one model and kind, learnt from those that have run. */
 interface Cost {
   /** Time from the start to the first token (engines) or the whole answer (plain services). */
   readonly first: LinearFit;
-  readonly tokens: Average;
+  readonly tokens: MovingAverage;
 }
 
-/** Estimates of what requests will cost at this upstream. */
+/** Estimates what requests will cost at this upstream. */
 export class Estimates {
   private readonly costs = new Map<string, Cost>();
 
-  /** All models together: for a model that is new here. */
+  /** Fit over all models; used for a model that has not been measured here. */
   private readonly overall = new LinearFit();
 
-  private readonly gap = new Average(PACE_PART);
+  private readonly gap = new MovingAverage(GAP_WEIGHT);
 
   constructor(private readonly paceGoalMs: Ms) {}
 
-  /** Time between tokens now. */
+  /** Current time between tokens. */
   get gapMs(): Ms {
-    return this.gap.or(this.paceGoalMs);
+    return this.gap.valueOr(this.paceGoalMs);
   }
 
-  learnFirst(offer: Offer, tookMs: Ms): void {
+  learnLatency(offer: Offer, tookMs: Ms): void {
     this.costOf(offer).first.add(offer.promptTokens, tookMs);
     this.overall.add(offer.promptTokens, tookMs);
   }
@@ -47,23 +47,24 @@
     this.gap.add(gapMs);
   }
 
-  /** Time that must be left at the start so that the deadline is met. */
-  needMs(offer: Offer): Ms {
+  /** Returns the time that a request needs from its start to meet its deadline. */
+  requiredMs(offer: Offer): Ms {
     const fit = this.fitOf(offer);
-    if (!fit.known) return FIRST_GUESS_MS;
+    if (!fit.known) return DEFAULT_LATENCY_MS;
     return fit.predict(offer.promptTokens) + SAFETY_DEVIATIONS * fit.spread;
   }
 
-  /** Time that the request will hold its place. */
+  /** Returns the expected time for which the request will hold its slot. */
   holdMs(offer: Offer): Ms {
     const fit = this.fitOf(offer);
-    const firstMs = Math.max(1, fit.known ? fit.predict(offer.promptTokens) : FIRST_GUESS_MS);
+    const firstMs = Math.max(1, fit.known ? fit.predict(offer.promptTokens) : DEFAULT_LATENCY_MS);
     if (!offer.model) return firstMs;
     return firstMs + this.tokensOf(offer) * this.gapMs;
   }
 
   private tokensOf(offer: Offer): number {
-    const tokens = this.costs.get(this.nameOf(offer))?.tokens.or(TOKENS_GUESS) ?? TOKENS_GUESS;
+    const tokens =
+      this.costs.get(this.nameOf(offer))?.tokens.valueOr(DEFAULT_TOKENS) ?? DEFAULT_TOKENS;
     return offer.maxTokens > 0 ? Math.min(offer.maxTokens, tokens) : tokens;
   }
 
@@ -80,7 +81,7 @@
     const name = this.nameOf(offer);
     const cost = this.costs.get(name) ?? {
       first: new LinearFit(),
-      tokens: new Average(LEARN_PART),
+      tokens: new MovingAverage(TOKENS_WEIGHT),
     };
     this.costs.set(name, cost);
     return cost;
--- a/src/core/admission/heap.ts
+++ b/src/core/admission/heap.ts
@@ -1,4 +1,4 @@
-/** A binary heap: the item with the lowest key comes first; equal keys in order of insertion. */
+/** Binary min-heap; items with equal keys leave in order of insertion. */
 export class Heap<Item> {
   private readonly items: { readonly key: number; readonly order: number; readonly item: Item }[] =
     [];
@@ -12,14 +12,14 @@
   push(key: number, item: Item): void {
     this.order += 1;
     this.items.push({ key, order: this.order, item });
-    this.rise(this.items.length - 1);
+    this.siftUp(this.items.length - 1);
   }
 
   peek(): Item | undefined {
     return this.items[0]?.item;
   }
 
-  /** Lowest key, or infinity when empty. */
+  /** Returns the lowest key, or infinity when empty. */
   peekKey(): number {
     return this.items[0]?.key ?? Infinity;
   }
@@ -30,18 +30,18 @@
     if (!first || !last) return undefined;
     if (this.items.length > 0) {
       this.items[0] = last;
-      this.sink();
+      this.siftDown();
     }
     return first.item;
   }
 
-  /** Drops the items that fail the test; linear. */
-  keep(test: (item: Item) => boolean): void {
+  /** Drops the items that fail the test, in O(n log n) time at most. */
+  retain(test: (item: Item) => boolean): void {
     const kept = this.items.filter(({ item }) => test(item));
     this.items.length = 0;
     for (const entry of kept) {
       this.items.push(entry);
-      this.rise(this.items.length - 1);
+      this.siftUp(this.items.length - 1);
     }
   }
 
@@ -57,7 +57,7 @@
     this.items[b] = held;
   }
 
-  private rise(from: number): void {
+  private siftUp(from: number): void {
     let at = from;
     while (at > 0) {
       const parent = Math.floor((at - 1) / 2);
@@ -67,7 +67,7 @@
     }
   }
 
-  private sink(): void {
+  private siftDown(): void {
     let at = 0;
     for (;;) {
       const left = 2 * at + 1;
--- a/src/core/admission/index.ts
+++ b/src/core/admission/index.ts
@@ -1,6 +1,6 @@
 /**
- * Admission and queue of one upstream: which request starts when, which is refused, and which long job
- * makes room.
+ * Admission control and queue of one upstream: when each request starts, which are refused, and which long jobs
+ * are preempted.
  */
 export { admission } from './admission.js';
 export type { AdmissionEffect } from './admissioneffect.js';
@@ -11,4 +11,4 @@
 export { LANES } from './lanes.js';
 export type { Offer } from './offer.js';
 export { startAdmission } from './startadmission.js';
-export { tellLoad } from './tellload.js';
+export { reportLoad } from './reportload.js';
--- a/src/core/admission/lane.ts
+++ b/src/core/admission/lane.ts
@@ -1,92 +1,97 @@
 /* eslint no-param-reassign: off -- admission changes its own tables in place: see AdmissionState */
 import type { Ms } from '../../base/index.js';
-import { Average } from './average.js';
+import { MovingAverage } from './movingaverage.js';
 import { Heap } from './heap.js';
 import type { Waiting } from './waiting.js';
 
-/** Those who left stay in the heap until there are so many more of them than of those who wait. */
+/** Removed requests stay in the heap until they outnumber the queued ones by this many. */
 const HEAP_SLACK = 16;
-const LEARN_PART = 0.05;
-/** Part of its time that a request of great worth may have less, at most. */
-const LARGEST_LEAD = 1;
+const VALUE_WEIGHT = 0.05;
+/** Largest fraction of its time by which a valuable request is moved ahead of its deadline. */
+const MAX_LEAD = 1;
 
-/** What one customer has waiting in one lane. */
-interface Line {
+/** Requests of one customer in one lane. */
+interface CustomerQueue {
   readonly customer: string;
-  /** Earliest deadline first. Those who left stay in the heap until they reach its head. */
+  /** Earliest deadline first. Removed requests stay in the heap until they reach its head. */
   readonly heap: Heap<Waiting>;
   queuedMs: Ms;
   count: number;
 }
 
-/** Requests of one priority that wait: for each customer, the earliest deadline first. */
+/** Queued requests of one priority: for each customer, the earliest deadline first. */
 export class Lane {
-  /** Of customers with something waiting. */
-  private readonly lines = new Map<string, Line>();
+  /** Queues of customers that have requests in this lane. */
+  private readonly queues = new Map<string, CustomerQueue>();
 
-  private readonly worth = new Average(LEARN_PART);
+  private readonly averageValue = new MovingAverage(VALUE_WEIGHT);
 
-  /** Time that all of them will hold their places. */
+  /** Total time for which the queued requests will hold their slots. */
   queuedMs: Ms = 0;
 
   count = 0;
 
   push(waiting: Waiting): void {
     const { customer } = waiting.offer;
-    const line = this.lines.get(customer) ?? { customer, heap: new Heap(), queuedMs: 0, count: 0 };
-    this.lines.set(customer, line);
-    this.worth.add(waiting.worth);
-    line.heap.push(this.keyOf(waiting), waiting);
-    this.add(line, waiting, 1);
+    const queue = this.queues.get(customer) ?? {
+      customer,
+      heap: new Heap(),
+      queuedMs: 0,
+      count: 0,
+    };
+    this.queues.set(customer, queue);
+    this.averageValue.add(waiting.valuePerMs);
+    queue.heap.push(this.keyOf(waiting), waiting);
+    this.add(queue, waiting, 1);
   }
 
-  /** Takes out one that has left the lane other than by `takeOf`. */
+  /** Accounts for a request that left the lane other than by `takeOf`. */
   drop(waiting: Waiting): void {
-    const line = this.lines.get(waiting.offer.customer);
-    if (!line) return;
-    this.add(line, waiting, -1);
-    const limit = 2 * line.count + HEAP_SLACK;
-    if (line.heap.size > limit) line.heap.keep(({ place }) => place === 'lane');
+    const queue = this.queues.get(waiting.offer.customer);
+    if (!queue) return;
+    this.add(queue, waiting, -1);
+    const limit = 2 * queue.count + HEAP_SLACK;
+    if (queue.heap.size > limit) queue.heap.retain(({ place }) => place === 'lane');
   }
 
-  /** Takes out a customer's request that is due first. */
+  /** Dequeues the customer's request that is due first. */
   takeOf(customer: string): Waiting | undefined {
-    const line = this.lines.get(customer);
-    if (!line) return undefined;
-    for (let head = line.heap.pop(); head; head = line.heap.pop()) {
+    const queue = this.queues.get(customer);
+    if (!queue) return undefined;
+    for (let head = queue.heap.pop(); head; head = queue.heap.pop()) {
       if (head.place !== 'lane') continue;
-      this.add(line, head, -1);
+      this.add(queue, head, -1);
       return head;
     }
     return undefined;
   }
 
-  /** How many customers have something waiting. */
+  /** Number of customers with queued requests. */
   get customerCount(): number {
-    return this.lines.size;
+    return this.queues.size;
   }
 
-  /** Customers with something waiting. */
+  /** Returns the customers with queued requests. */
   customers(): Iterable<string> {
-    return this.lines.keys();
+    return this.queues.keys();
   }
 
-  /** Work of one customer in this lane. */
+  /** Returns the queued work of one customer in this lane. */
   queuedOf(customer: string): Ms {
-    return this.lines.get(customer)?.queuedMs ?? 0;
+    return this.queues.get(customer)?.queuedMs ?? 0;
   }
 
-  /** Earliest deadline first, but what is worth more than the rest has a part of its time less. */
-  private keyOf({ worth, deadlineAtMs, offeredAtMs }: Waiting): number {
-    const ratio = worth / this.worth.or(worth);
-    const lead = ratio > 1 ? LARGEST_LEAD * (1 - 1 / ratio) : 0;
+  /** Returns the sort key: the deadline, moved earlier for requests of more than average value. */
+  private keyOf({ valuePerMs, deadlineAtMs, offeredAtMs }: Waiting): number {
+    const ratio = valuePerMs / this.averageValue.valueOr(valuePerMs);
+    const lead = ratio > 1 ? MAX_LEAD * (1 - 1 / ratio) : 0;
     return deadlineAtMs - lead * (deadlineAtMs - offeredAtMs);
   }
 
-  private add(line: Line, { holdMs }: Waiting, count: 1 | -1): void {
-    line.queuedMs += count * holdMs;
-    line.count += count;
-    if (line.count === 0) this.lines.delete(line.customer);
+  private add(queue: CustomerQueue, { holdMs }: Waiting, count: 1 | -1): void {
+    queue.queuedMs += count * holdMs;
+    queue.count += count;
+    if (queue.count === 0) this.queues.delete(queue.customer);
     this.queuedMs += count * holdMs;
     this.count += count;
     if (this.count === 0) this.queuedMs = 0;
--- a/src/core/admission/lanes.ts
+++ b/src/core/admission/lanes.ts
@@ -1,9 +1,9 @@
-/** How one lane of waiting requests is served. */
+/** Rules by which one lane of queued requests is served. */
 interface LaneRules {
   readonly name: string;
-  /** Its long jobs are bounded in number and yield. */
+  /** True if it holds long jobs: their number is bounded, and they can be preempted. */
   readonly longJobs: boolean;
-  /** Requests of all lanes before may have its running ones make room. */
+  /** True if requests of all earlier lanes may preempt its running requests. */
   readonly background: boolean;
 }
 
--- a/src/core/admission/limitof.ts
+++ b/src/core/admission/limitof.ts
@@ -2,17 +2,17 @@
 import { LANES } from './lanes.js';
 
 /**
- * So far beyond the limit may urgent requests go, and those of customers who have used little: they are
- * few or short, and a step grows little by one more.
+ * Fraction of the limit by which urgent requests, and those of customers that underuse their share, may exceed it.
+ * They are few or short, and one more request adds little to the duration of an engine step.
  */
-const URGENT_PART = 0.25;
-/** Long jobs leave so much of the limit free, so that they need not be pre-empted at once. */
-const LONG_PART = 0.35;
+const URGENT_EXCESS = 0.25;
+/** Fraction of the limit that long jobs leave free, so that they need not be preempted at once. */
+const LONG_JOB_RESERVE = 0.35;
 
-/** Requests that may run at once when one of this lane wants to start. */
-export function limitOf({ pace, policy }: AdmissionState, lane: number): number {
-  const { limit } = pace;
+/** Returns the number of concurrent requests up to which a request of this lane may start. */
+export function limitOf({ concurrency, policy }: AdmissionState, lane: number): number {
+  const { limit } = concurrency;
   if (policy.type === 'plain') return limit;
-  if (lane === 0) return limit + Math.round(limit * URGENT_PART);
-  return LANES[lane]!.longJobs ? Math.max(1, limit - Math.ceil(limit * LONG_PART)) : limit;
+  if (lane === 0) return limit + Math.round(limit * URGENT_EXCESS);
+  return LANES[lane]!.longJobs ? Math.max(1, limit - Math.ceil(limit * LONG_JOB_RESERVE)) : limit;
 }
--- a/src/core/admission/linearfit.ts
+++ b/src/core/admission/linearfit.ts
@@ -1,8 +1,8 @@
-/** What is kept of the older points when one is added. */
-const DEFAULT_KEEP = 0.98;
-const ENOUGH = 4;
+/** Factor applied to the weight of older points when one is added. */
+const DEFAULT_RETENTION = 0.98;
+const MIN_POINTS = 4;
 
-/** A straight line through what was measured lately: older points count less and less. */
+/** Weighted linear regression in which older points decay exponentially. */
 export class LinearFit {
   private count = 0;
 
@@ -18,29 +18,29 @@
 
   private deviation = 0;
 
-  constructor(private readonly keep = DEFAULT_KEEP) {}
+  constructor(private readonly retention = DEFAULT_RETENTION) {}
 
-  /** True when there are enough points to predict from. */
+  /** True if there are enough points to predict from. */
   get known(): boolean {
-    return this.count >= ENOUGH;
+    return this.count >= MIN_POINTS;
   }
 
-  /** Mean distance of the points from the line. */
+  /** Mean absolute deviation of the points from the line. */
   get spread(): number {
     return this.deviation;
   }
 
   add(x: number, y: number, weight = 1): void {
-    const { keep } = this;
+    const { retention } = this;
     if (this.known) {
-      this.deviation = keep * this.deviation + (1 - keep) * Math.abs(y - this.predict(x));
+      this.deviation = retention * this.deviation + (1 - retention) * Math.abs(y - this.predict(x));
     }
-    this.count = this.count * keep + 1;
-    this.weights = this.weights * keep + weight;
-    this.sumX = this.sumX * keep + weight * x;
-    this.sumY = this.sumY * keep + weight * y;
-    this.sumXX = this.sumXX * keep + weight * x * x;
-    this.sumXY = this.sumXY * keep + weight * x * y;
+    this.count = this.count * retention + 1;
+    this.weights = this.weights * retention + weight;
+    this.sumX = this.sumX * retention + weight * x;
+    this.sumY = this.sumY * retention + weight * y;
+    this.sumXX = this.sumXX * retention + weight * x * x;
+    this.sumXY = this.sumXY * retention + weight * x * y;
   }
 
   predict(x: number): number {
--- a/src/core/admission/preempt.ts
+++ b/src/core/admission/preempt.ts
@@ -3,19 +3,19 @@
 import type { AdmissionState } from './admissionstate.js';
 import type { Running } from './running.js';
 
-/** The running request that yields and has lost least: the one that started last. */
-function latestThatYields(state: AdmissionState, lane: number): Running | undefined {
+/** Returns the preemptible request that loses least work: the one that started last. */
+function latestPreemptible(state: AdmissionState, lane: number): Running | undefined {
   let latest: Running | undefined;
   for (const running of state.running.values()) {
-    if (!running.yields || running.preempting || running.waiting.lane <= lane) continue;
+    if (!running.isPreemptible || running.preempting || running.waiting.lane <= lane) continue;
     if (!latest || running.startedAtMs >= latest.startedAtMs) latest = running;
   }
   return latest;
 }
 
-/** Has the running long job that yields best make room for a request of the lane. */
+/** Preempts one running request, if there is a preemptible one, in favour of a request of the given lane. */
 export function preempt(state: AdmissionState, lane: number): AdmissionEffect[] {
-  const victim = latestThatYields(state, lane);
+  const victim = latestPreemptible(state, lane);
   if (!victim) return [];
   victim.preempting = true;
   state.preempting += 1;
--- a/src/core/admission/refusewaiting.ts
+++ b/src/core/admission/refusewaiting.ts
@@ -1,13 +1,13 @@
 import type { Ms } from '../../base/index.js';
 import type { AdmissionEffect } from './admissioneffect.js';
 import type { AdmissionState } from './admissionstate.js';
-import { forget } from './forget.js';
+import { stopWaiting } from './stopwaiting.js';
 import { retryAfter } from './retryafter.js';
 import type { Waiting } from './waiting.js';
 
 type Failure = Extract<AdmissionEffect, { type: 'refuse' }>['failure'];
 
-/** Gives up on a request that waited: its final answer, at once. The caller has taken it off its lane. */
+/** Refuses a queued request at once. The calling function has already removed it from its lane. */
 export function refuseWaiting(
   state: AdmissionState,
   waiting: Waiting,
@@ -15,7 +15,7 @@
   nowMs: Ms,
 ): AdmissionEffect {
   const { offer, lane, holdMs } = waiting;
-  forget(state, waiting);
+  stopWaiting(state, waiting);
   state.inflows[lane]!.add(-holdMs, nowMs);
   const retryAfterMs = retryAfter(state, waiting, nowMs);
   return { type: 'refuse', requestId: offer.requestId, failure, retryAfterMs };
--- a/src/core/admission/running.ts
+++ b/src/core/admission/running.ts
@@ -1,12 +1,12 @@
 import type { Ms } from '../../base/index.js';
 import type { Waiting } from './waiting.js';
 
-/** A request that runs. */
+/** A running request. */
 export interface Running {
   readonly waiting: Waiting;
   readonly startedAtMs: Ms;
-  /** Whether it may be asked to make room: repeatable, and long or of the background. */
-  readonly yields: boolean;
+  /** True if it may be preempted: it is repeatable, and long or background work. */
+  readonly isPreemptible: boolean;
   readonly longJob: boolean;
   answering: boolean;
   preempting: boolean;
--- a/src/core/admission/startadmission.ts
+++ b/src/core/admission/startadmission.ts
@@ -4,12 +4,12 @@
 import type { AdmissionState } from './admissionstate.js';
 import { Estimates } from './estimates.js';
 import { Heap } from './heap.js';
-import { Inflow } from './inflow.js';
+import { DecayingRate } from './decayingrate.js';
 import { Lane } from './lane.js';
 import { LANES } from './lanes.js';
-import { PaceLimit } from './pacelimit.js';
+import { ConcurrencyLimit } from './concurrencylimit.js';
 
-/** Nothing waits, nothing runs, nothing has been measured. */
+/** Creates the initial state: nothing queued, running or measured. */
 export function startAdmission(policy: AdmissionPolicy): AdmissionState {
   const lanes = LANES.map(() => new Lane());
   const accounts = new Accounts();
@@ -20,14 +20,14 @@
     accounts,
     kinds: new Map<string, Kind>(policy.kinds.map((kind) => [kind.name, kind])),
     estimates: new Estimates(policy.paceGoalMs),
-    pace: new PaceLimit(policy.slots, policy.paceGoalMs),
-    inflows: lanes.map(() => new Inflow()),
+    concurrency: new ConcurrencyLimit(policy.slots, policy.paceGoalMs),
+    inflows: lanes.map(() => new DecayingRate()),
     waiting: new Map(),
     running: new Map(),
     parked: new Map(),
     models: new Map(),
     reviews: new Heap(),
-    releaseRate: 0,
+    slotsFreedPerMs: 0,
     runningMs: 0,
     countedAtMs: 0,
     pacedAtMs: 0,
--- a/src/core/admission/forget.ts
+++ b/src/core/admission/stopwaiting.ts
@@ -2,8 +2,8 @@
 import type { AdmissionState } from './admissionstate.js';
 import type { Waiting } from './waiting.js';
 
-/** A request that its lane has given out no longer waits. */
-export function forget(state: AdmissionState, waiting: Waiting): void {
+/** Marks a request that was taken from its lane as no longer queued. */
+export function stopWaiting(state: AdmissionState, waiting: Waiting): void {
   const { requestId, customer } = waiting.offer;
   waiting.place = 'left';
   if (state.waiting.delete(requestId)) state.accounts.of(customer).waiting -= 1;
--- a/src/core/admission/waiting.ts
+++ b/src/core/admission/waiting.ts
@@ -1,21 +1,21 @@
 import type { Ms } from '../../base/index.js';
-import type { Inflow } from './inflow.js';
+import type { DecayingRate } from './decayingrate.js';
 import type { Offer } from './offer.js';
 
-/** A request that waits. */
+/** A queued request. */
 export interface Waiting {
   readonly offer: Offer;
   readonly lane: number;
   readonly offeredAtMs: Ms;
   readonly deadlineAtMs: Ms;
-  /** Starting later would miss the deadline; infinity once a part of the answer was sent. */
+  /** A later start would miss the deadline; infinity if part of the answer was already sent. */
   readonly latestStartAtMs: Ms;
-  /** Time that it will hold its place, as estimated. */
+  /** Estimated time for which it will hold its slot. */
   readonly holdMs: Ms;
-  /** What an answer in time is worth for each ms that it holds its place. */
-  readonly worth: number;
-  /** Where its work was counted: within its customer's share, or beyond. */
-  counted: Inflow | undefined;
-  /** `left` it has started, was refused, or its caller has gone. */
+  /** Weight of an answer in time divided by the time for which it holds its slot. */
+  readonly valuePerMs: number;
+  /** The usage rate that its work was added to: within its customer's share, beyond it, or background. */
+  counted: DecayingRate | undefined;
+  /** `lane`: queued; `parked`: waiting for its model to load; `left`: started, refused or abandoned. */
   place: 'lane' | 'parked' | 'left';
 }
--- a/src/core/admission/leave.ts
+++ b/src/core/admission/withdraw.ts
@@ -1,11 +1,11 @@
 import type { AdmissionState } from './admissionstate.js';
-import { forget } from './forget.js';
+import { stopWaiting } from './stopwaiting.js';
 import type { Waiting } from './waiting.js';
 
-/** Takes a waiting request off its lane, or from those whose model is being loaded. */
-export function leave(state: AdmissionState, waiting: Waiting): void {
+/** Removes a queued request from its lane, or from the requests waiting for a model load. */
+export function withdraw(state: AdmissionState, waiting: Waiting): void {
   const { place, lane, offer } = waiting;
-  forget(state, waiting);
+  stopWaiting(state, waiting);
   if (place === 'lane') state.lanes[lane]!.drop(waiting);
   if (place === 'parked') state.parked.get(offer.model)?.delete(waiting);
 }
--- a/src/core/attempt/maystartagain.ts
+++ b/src/core/attempt/mayretrytried.ts
@@ -2,10 +2,10 @@
 import type { AttemptState } from './attemptstate.js';
 
 /**
- * Whether a request that no other upstream is left for may go to one that failed it: once, if that was a
- * failure and no refusal, and if it may be run again or has certainly not run.
+ * True if a request for which no other upstream is left may be sent to one that failed it. This is allowed once, if the
+ * last attempt failed rather than was refused, and if the request may be repeated or has certainly not run.
  */
-export function mayStartAgain(state: AttemptState, nowMs: number): boolean {
+export function mayRetryTried(state: AttemptState, nowMs: number): boolean {
   if (state.again || state.bound || !state.hasFailed) return false;
   if (state.attempt >= state.attemptLimit) return false;
   if (!state.passed && nowMs >= state.deadlineAtMs) return false;
--- a/src/core/attempt/nextphase.ts
+++ b/src/core/attempt/nextphase.ts
@@ -3,8 +3,8 @@
 
 const machine = createMachine(chart as Parameters<typeof createMachine>[0]);
 
-/** The chart's answers, by phase and step: it is asked several times for each request. */
-const answers = new Map<string, string | undefined>();
+/** Cache of transitions by phase and event, because the chart is evaluated several times for each request. */
+const transitions = new Map<string, string | undefined>();
 
 function ask(phase: string, type: string): string | undefined {
   const snapshot = machine.resolveState({ value: phase });
@@ -13,9 +13,9 @@
   return String(next.value);
 }
 
-/** The phase that the chart gives, or undefined if it has no such step. */
+/** Returns the phase after an event of the state chart; undefined if the chart has no such transition. */
 export function nextPhase(phase: string, type: string): string | undefined {
   const key = `${phase} ${type}`;
-  if (!answers.has(key)) answers.set(key, ask(phase, type));
-  return answers.get(key);
+  if (!transitions.has(key)) transitions.set(key, ask(phase, type));
+  return transitions.get(key);
 }
--- a/src/core/attempt/startattempt.ts
+++ b/src/core/attempt/startattempt.ts
@@ -1,14 +1,14 @@
 import type { Change } from '../../base/index.js';
 import type { AttemptEffect } from './attempteffect.js';
 import type { AttemptState } from './attemptstate.js';
-import { remaining } from './remaining.js';
+import { remainingTimeMs } from './remainingtimems.js';
 
 const ATTEMPT_LIMIT = 4;
 
-/** What a new request brings. */
+/** Properties of a new request. */
 type Start = Pick<AttemptState, 'repeatable' | 'bound' | 'deadlineAtMs'>;
 
-/** The state of a new request, and its first effect. */
+/** Returns the state of a new request and its first effect. */
 export function startAttempt(start: Start, nowMs: number): Change<AttemptState, AttemptEffect> {
   const state: AttemptState = {
     ...start,
@@ -22,6 +22,6 @@
     passed: false,
     attemptLimit: ATTEMPT_LIMIT,
   };
-  const remainingMs = remaining(state, nowMs);
+  const remainingMs = remainingTimeMs(state, nowMs);
   return { state, effects: [{ type: 'choose', tried: [], remainingMs, afterMs: 0 }] };
 }
--- a/src/core/attempt/stepattempt.ts
+++ b/src/core/attempt/stepattempt.ts
@@ -3,13 +3,13 @@
 import type { AttemptEffect } from './attempteffect.js';
 import type { AttemptEvent } from './attemptevent.js';
 import type { AttemptState } from './attemptstate.js';
-import { judge } from './judge.js';
-import { mayStartAgain } from './maystartagain.js';
+import { retryOrFail } from './retryorfail.js';
+import { mayRetryTried } from './mayretrytried.js';
 import { nextPhase } from './nextphase.js';
-import { remaining } from './remaining.js';
+import { remainingTimeMs } from './remainingtimems.js';
 
-/** Wait before a request goes to an upstream that has failed it. */
-const AGAIN_AFTER_MS = 100;
+/** Delay before a request is sent again to an upstream that has failed it. */
+const RETRY_DELAY_MS = 100;
 
 type Changed = Change<AttemptState, AttemptEffect>;
 type Handler<Type extends AttemptEvent['type']> = (
@@ -18,7 +18,7 @@
   nowMs: number,
 ) => Changed;
 
-/** Takes a step of the chart; a step that the chart does not have changes nothing. */
+/** Takes a transition of the chart; an event without a transition changes nothing. */
 function take(
   state: AttemptState,
   step: string,
@@ -33,15 +33,15 @@
 function chooseAgain(state: AttemptState, step: string, nowMs: number): Changed {
   const { upstream, bound, tried } = state;
   const next = upstream === undefined || bound ? tried : [...tried, upstream];
-  const remainingMs = remaining(state, nowMs);
+  const remainingMs = remainingTimeMs(state, nowMs);
   const effect: AttemptEffect = { type: 'choose', tried: next, remainingMs, afterMs: 0 };
   return take(state, step, [effect], { tried: next });
 }
 
-/** Lets those in again that failed it, a moment later: a sidecar may be back, a cut may not recur. */
-function startAgain(state: AttemptState, nowMs: number): Changed {
-  const remainingMs = Math.max(0, remaining(state, nowMs) - AGAIN_AFTER_MS);
-  const effect: AttemptEffect = { type: 'choose', tried: [], remainingMs, afterMs: AGAIN_AFTER_MS };
+/** Allows the upstreams that failed the request again after a delay: a sidecar may be back, a cut may not recur. */
+function retryTried(state: AttemptState, nowMs: number): Changed {
+  const remainingMs = Math.max(0, remainingTimeMs(state, nowMs) - RETRY_DELAY_MS);
+  const effect: AttemptEffect = { type: 'choose', tried: [], remainingMs, afterMs: RETRY_DELAY_MS };
   return take(state, 'again', [effect], { tried: [], again: true });
 }
 
@@ -51,7 +51,7 @@
   nowMs: number,
 ): Changed {
   const refusals = [...state.refusals, event.refusal];
-  const step = judge(state, event, nowMs);
+  const step = retryOrFail(state, event, nowMs);
   if (step === 'fail') return take(state, step, [{ type: 'fail', refusals }], { refusals });
   const hasFailed = event.type === 'broken' || event.refusal.executed !== Executed.EXECUTED_NO;
   return chooseAgain({ ...state, refusals, hasFailed }, step, nowMs);
@@ -60,14 +60,14 @@
 const HANDLERS: { readonly [Type in AttemptEvent['type']]: Handler<Type> } = {
   chosen: (state, { upstream }, nowMs) => {
     const attempt = state.attempt + 1;
-    const remainingMs = remaining(state, nowMs);
+    const remainingMs = remainingTimeMs(state, nowMs);
     const continued = state.passed;
     const effect: AttemptEffect = { type: 'ask', upstream, attempt, continued, remainingMs };
     return take(state, 'ask', [effect], { attempt, upstream });
   },
   unchosen: (state, { refusal }, nowMs) => {
-    if (mayStartAgain(state, nowMs)) return startAgain(state, nowMs);
-    // A sidecar's own word tells the caller more than "no upstream is left".
+    if (mayRetryTried(state, nowMs)) return retryTried(state, nowMs);
+    // A sidecar's refusal is more useful to the caller than "no upstream is left".
     const refusals = state.refusals.length > 0 ? state.refusals : [refusal];
     return take(state, 'fail', [{ type: 'fail', refusals }], { refusals });
   },
@@ -85,7 +85,7 @@
   },
 };
 
-/** Decides what follows an event of a request. */
+/** Advances the state of a request by one event. */
 export const stepAttempt: Step<AttemptState, AttemptEvent, AttemptEffect> = (
   state,
   event,
--- a/src/core/delivery/attemptend.ts
+++ b/src/core/delivery/attemptend.ts
@@ -1,8 +1,8 @@
-/** How one attempt ended, as far as the request still needs a decision. */
+/** How an attempt ended without a usable answer. */
 export type AttemptEnd =
-  /** The upstream says it did not run it, or it was never sent. */
+  /** The upstream reported that it did not run the request, or the request was never sent. */
   | { readonly type: 'not-run'; readonly wasSent: boolean }
-  /** A whole answer that is a failure of the upstream's own. */
+  /** A complete answer that reports a failure of the upstream. */
   | { readonly type: 'failed' }
-  /** No answer, or one that broke off. */
+  /** No answer, or an interrupted one. */
   | { readonly type: 'broken' };
--- a/src/core/delivery/index.ts
+++ b/src/core/delivery/index.ts
@@ -1,4 +1,4 @@
-/** What becomes of a request after each attempt at an upstream. */
+/** Decides how to proceed with a request after each attempt at an upstream. */
 export type { AttemptEnd } from './attemptend.js';
 export { nextStep } from './nextstep.js';
 export type { Progress } from './progress.js';
--- a/src/core/delivery/progress.ts
+++ b/src/core/delivery/progress.ts
@@ -1,14 +1,14 @@
-/** What has happened to a request so far. */
+/** Progress of a request over its attempts so far. */
 export interface Progress {
-  /** Running it twice does no harm. */
+  /** True if the request may be run more than once. */
   readonly isRepeatable: boolean;
-  /** Its stream can go on at another upstream after the last event that its caller has. */
+  /** True if another upstream can continue its stream after the last event sent to the caller. */
   readonly isResumable: boolean;
-  /** Some of the answer has gone to the caller. */
+  /** True if part of the answer was sent to the caller. */
   readonly hasBegun: boolean;
-  /** Upstreams that may have run it. */
+  /** Number of upstreams that may have run it. */
   readonly ranCount: number;
-  /** Attempts that were refused unrun or never left. */
+  /** Number of attempts that were refused without running or never sent. */
   readonly refusedCount: number;
   readonly maxAttempts: number;
   readonly remainingMs: number;
--- a/src/core/enginelimit/index.ts
+++ b/src/core/enginelimit/index.ts
@@ -1,6 +1,6 @@
-/** How many requests an engine bears, by the gaps between the events that come from it. */
-export { freshLimit } from './freshlimit.js';
+/** Concurrency limit of an engine, adapted to the gaps between the events of its streams. */
+export { initialLimit } from './initiallimit.js';
 export type { LimitState } from './limitstate.js';
 export { onGap } from './ongap.js';
-export { limitRules } from './limitrules.js';
-export { mostFill } from './mostfill.js';
+export { engineLimitRules } from './enginelimitrules.js';
+export { maxFill } from './maxfill.js';
--- a/src/core/enginelimit/limitstate.ts
+++ b/src/core/enginelimit/limitstate.ts
@@ -1,8 +1,8 @@
 import type { Ms } from '../../base/index.js';
 
-/** What one entry knows of how much an engine bears. All entries see the same gaps and so come to the same. */
+/** One entry's limit for an engine. All entries observe the same gaps and therefore reach similar limits. */
 export interface LimitState {
-  /** Requests that it should have, as a part of its slots, when `changedAtMs` was now. */
+  /** Limit on running and queued requests at `changedAtMs`, as a fraction of the engine's slots. */
   readonly fill: number;
   readonly changedAtMs: Ms;
 }
--- a/src/core/plainwait/index.ts
+++ b/src/core/plainwait/index.ts
@@ -1,5 +1,5 @@
-/** How long an answer of a plain service takes, and whether one more request there can still be in time. */
-export { expectedMs } from './expectedms.js';
+/** Admission for plain services: expected answer times, and whether one more request can be answered in time. */
+export { expectedAnswerMs } from './expectedanswerms.js';
 export { learnService } from './learnservice.js';
 export { mayJoin } from './mayjoin.js';
-export { plainRules } from './plainrules.js';
+export { plainWaitRules } from './plainwaitrules.js';
--- a/src/core/plainwait/mayjoin.ts
+++ b/src/core/plainwait/mayjoin.ts
@@ -1,25 +1,25 @@
 import type { Ms } from '../../base/index.js';
-import { plainRules } from './plainrules.js';
+import { plainWaitRules } from './plainwaitrules.js';
 
-/** A request before the best upstream for it. */
+/** A request and the best upstream for it. */
 interface Joining {
-  /** How long it has been here. */
+  /** Time since the request arrived at this entry. */
   readonly heldMs: Ms;
   readonly targetMs: Ms;
-  /** Its answer takes so long from now. */
+  /** Expected time to its answer if it is sent now. */
   readonly expectedMs: Ms;
   readonly load: number;
   readonly slots: number;
 }
 
 /**
- * Whether a request goes to its upstream now. One that can be in time does. One that cannot goes only where nobody
- * waits: in a line it would make those behind it late as well. Where 25 entries send 1.7 times what four servers of six
- * slots bear, for 11 of 20 s, 0.61 of all requests are in time in place of 0.34 (simulated, two seeds; 0.68 is what
- * the servers bear); at 1.1 times, 0.90 in place of 0.33.
+ * True if a request should be sent to its upstream now. A request that can be answered in time is sent. One that
+ * cannot is sent only if a slot is free: in a queue it would make the requests behind it late as well. In a simulation
+ * of 25 entries that overload four servers of six slots 1.7 times for 11 of 20 s (two seeds), 0.61 of all requests are
+ * on time, compared with 0.34 without this rule and 0.68 at full capacity; at 1.1 times, 0.90 compared with 0.33.
  */
 export function mayJoin({ heldMs, targetMs, expectedMs, load, slots }: Joining): boolean {
-  // Nothing is known of how long it takes, or nobody is there.
+  // The processing time is not known yet, or a slot is free.
   if (!Number.isFinite(expectedMs) || load < slots) return true;
-  return heldMs + expectedMs <= targetMs * plainRules.targetShare;
+  return heldMs + expectedMs <= targetMs * plainWaitRules.targetShare;
 }
--- a/src/core/promptpace/calmtime.ts
+++ b/src/core/promptpace/calmtime.ts
@@ -1,9 +1,9 @@
 import type { Ms } from '../../base/index.js';
-import { paceRules } from './pacerules.js';
+import { promptPaceRules } from './promptpacerules.js';
 
-/** Follows what something takes while nothing stands in its way: shorter times at once, longer ones slowly. */
+/** Updates the estimate of an uncontended duration: follows shorter samples quickly and longer ones slowly. */
 export function calmTime(calmMs: Ms, tookMs: Ms): Ms {
   if (calmMs === Infinity) return tookMs;
-  const share = tookMs < calmMs ? paceRules.fallShare : paceRules.riseShare;
+  const share = tookMs < calmMs ? promptPaceRules.fallShare : promptPaceRules.riseShare;
   return calmMs + (tookMs - calmMs) * share;
 }
--- a/src/core/promptpace/index.ts
+++ b/src/core/promptpace/index.ts
@@ -1,4 +1,4 @@
-/** When the next prompt may go to an engine, so that many at a time do not hold up the streams that run there. */
+/** Pacing of prompts: spreads the prefills at an engine so that they do not stall the streams running there. */
 export { calmTime } from './calmtime.js';
-export { isReading } from './isreading.js';
-export { paceRules } from './pacerules.js';
+export { isPrefilling } from './isprefilling.js';
+export { promptPaceRules } from './promptpacerules.js';
--- a/src/core/quota/capacityof.ts
+++ b/src/core/quota/capacityof.ts
@@ -5,8 +5,8 @@
 const MS_PER_S = 1000;
 
 /**
- * What the shared bucket holds when it is full. In no window more can be sent than what lay there and at the entries
- * when it began, which is this at most, and what flowed in since: rate x window.
+ * Returns the capacity of the shared bucket. In any window, no more can be sent than what the bucket and the entries
+ * held at its start, which is at most this capacity, plus the inflow during the window: rate x window.
  */
 export function capacityOf({ ratePerS, burst }: Quota, terms: QuotaTerms): number {
   const allowed = (ratePerS * terms.windowMs) / MS_PER_S + burst;
--- a/src/core/quota/index.ts
+++ b/src/core/quota/index.ts
@@ -1,4 +1,4 @@
-/** Quotas of customers over all entries: the holder's buckets, and what each entry has of them. */
+/** Customer quotas over all entries: shared buckets at the order lease holder, and a local bucket at each entry. */
 export { capacityOf } from './capacityof.js';
 export { costOf } from './costof.js';
 export { LocalBucket } from './localbucket.js';
--- a/src/core/quota/localbucket.ts
+++ b/src/core/quota/localbucket.ts
@@ -4,19 +4,19 @@
 import { quotaLimits } from './quotalimits.js';
 import type { QuotaTerms } from './quotaterms.js';
 
-/** When an entry goes by its own part of the rate, and what part that is. */
-interface Alone {
+/** The time in which an entry fills its bucket from a fixed part of the rate, and that part. */
+interface Isolation {
   readonly fromMs: Ms;
   readonly untilMs: Ms;
-  /** Into how many parts the rate is cut. */
+  /** Number of equal parts into which the rate is divided. */
   readonly parts: number;
 }
 
-/** What one entry holds of one customer's quota. */
+/** The part of one customer's quota that one entry holds. */
 export class LocalBucket {
   level = 0;
 
-  /** Asked for since the last report, whether granted or not. */
+  /** Demand since the last report, whether granted or not. */
   private wanted = 0;
 
   private filledAtMs: Ms = -Infinity;
@@ -25,13 +25,13 @@
 
   private wasRefused = false;
 
-  private closedUntilMs: Ms = -Infinity;
+  private backoffUntilMs: Ms = -Infinity;
 
-  /** What was told with the last refusal: when the line that stood then is served. */
+  /** Time at which the requests refused so far will have been served. */
   private servedAtMs: Ms = -Infinity;
 
-  /** A request has come, whatever becomes of it. */
-  want(cost: number): void {
+  /** Counts the demand of a request, whether it is granted or not. */
+  recordDemand(cost: number): void {
     this.wanted += cost;
   }
 
@@ -41,19 +41,19 @@
     return true;
   }
 
-  /** Takes all that is there, for a request that asks the holder for the rest: no other may count on it. */
+  /** Takes the whole level for a request that asks the holder for the rest, so that no other request can use it. */
   takeAll(): number {
     const { level } = this;
     this.level = 0;
     return level;
   }
 
-  give(amount: number): void {
+  deposit(amount: number): void {
     this.level += amount;
   }
 
-  /** Fills from the entry's own part of the rate, for the time in which it had no holder to ask. */
-  fill(quota: Quota, terms: QuotaTerms, { fromMs, untilMs, parts }: Alone, nowMs: Ms): void {
+  /** Fills the bucket from the entry's own part of the rate for the time in which it had no contact with the holder. */
+  fill(quota: Quota, terms: QuotaTerms, { fromMs, untilMs, parts }: Isolation, nowMs: Ms): void {
     const startMs = Math.max(this.filledAtMs, fromMs);
     const endMs = Math.min(nowMs, untilMs);
     this.filledAtMs = nowMs;
@@ -64,29 +64,29 @@
     this.level = Math.min(most, this.level + inflow);
   }
 
-  /** The holder had nothing left: it is not asked again before `againMs` from now. */
-  refused(retryAfterMs: Ms, againMs: Ms, nowMs: Ms): void {
+  /** The holder had nothing left: it is not asked again for `backoffMs`. */
+  onRefused(retryAfterMs: Ms, backoffMs: Ms, nowMs: Ms): void {
     this.wasRefused = true;
-    this.closedUntilMs = nowMs + againMs;
+    this.backoffUntilMs = nowMs + backoffMs;
     this.servedAtMs = nowMs + retryAfterMs;
   }
 
-  isClosed(nowMs: Ms): boolean {
-    return nowMs < this.closedUntilMs;
+  isBackingOff(nowMs: Ms): boolean {
+    return nowMs < this.backoffUntilMs;
   }
 
-  /** When a request that is refused now may come back: behind those that were refused before it. */
+  /** Returns the retry-after time of a request that is refused now: behind those refused before it. */
   retryAfterMs(cost: number, { ratePerS }: Quota, nowMs: Ms): Ms {
     this.servedAtMs = Math.max(nowMs, this.servedAtMs) + (cost / ratePerS) * 1000;
-    return Math.min(quotaLimits.mostRetryAfterMs, this.servedAtMs - nowMs);
+    return Math.min(quotaLimits.maxRetryAfterMs, this.servedAtMs - nowMs);
   }
 
-  /** What goes into the next report; what is returned with it is no longer held. */
+  /** Creates the next report to the holder; the returned amount leaves this bucket. */
   report(): { readonly wanted: number; readonly held: number; readonly returned: number } {
     const { wanted } = this;
     this.idleCount = wanted > 0 ? 0 : this.idleCount + 1;
     const isIdle = this.idleCount >= quotaLimits.idleReports;
-    // What is too little for the requests that come here is of use to another entry.
+    // A level that is too low for the requests here can be of use to another entry.
     const returned = isIdle || this.wasRefused ? Math.max(0, this.level) : 0;
     this.level -= returned;
     this.wanted = 0;
--- a/src/core/quota/quotaparts.ts
+++ b/src/core/quota/quotaparts.ts
@@ -1,14 +1,15 @@
-/** So few entries are cut into this many parts, as one more counts much among them. */
-const LEAST = 8;
-/** Entries that may come before their number is told again. */
+/** Minimum number of parts; with few entries, one more entry would have a large effect. */
+const MIN_PARTS = 8;
+/** Number of entries that may join before the entry count is updated. */
 const MARGIN = 2;
-/** Before the number is known: as on a deployment of 25 entries, with a margin. */
+/** Used while the entry count is unknown: suits a deployment of 25 entries, with a margin. */
 const UNKNOWN = 32;
 
 /**
- * Into how many parts a rate is cut for entries that hear of no holder. Each part more takes from all of them: with a
- * quarter more than there are, 25 entries had 0.78 of each limit in the 2.1 s after a lost holder.
+ * Returns the number of parts into which a rate is divided while entries have no contact with the holder. Every unused
+ * part reduces what all entries get: with a quarter more parts than entries, 25 entries got 0.78 of each limit in the
+ * 2.1 s after the holder was lost.
  */
 export function quotaParts(entryCount: number | undefined): number {
-  return entryCount === undefined ? UNKNOWN : Math.max(LEAST, entryCount + MARGIN);
+  return entryCount === undefined ? UNKNOWN : Math.max(MIN_PARTS, entryCount + MARGIN);
 }
--- a/src/core/quota/quotaterms.ts
+++ b/src/core/quota/quotaterms.ts
@@ -1,10 +1,10 @@
 import type { Ms } from '../../base/index.js';
 
-/** How exactly a quota has to hold over all entries, from the settings. */
+/** Tolerance within which a quota must hold over all entries, from the settings. */
 export interface QuotaTerms {
   readonly windowMs: Ms;
-  /** Part of what a window allows that may be sent beyond it. */
+  /** Allowed excess over what a window allows, as a fraction of it. */
   readonly overshoot: number;
-  /** What may be sent beyond that, in the quota's unit. */
+  /** Additional allowed excess, in the quota's unit. */
   readonly slack: number;
 }
--- a/src/core/refusal/index.ts
+++ b/src/core/refusal/index.ts
@@ -1,2 +1,2 @@
-/** Refusals: the typed ends of requests that gave no answer. */
+/** Refusals: typed results of requests without an answer. */
 export { refuse } from './refuse.js';
--- a/src/core/refusal/refuse.ts
+++ b/src/core/refusal/refuse.ts
@@ -4,7 +4,7 @@
 interface RefuseOptions {
   /** Defaults to `no`: the request was not run and will not be. */
   readonly executed?: Executed;
-  /** When to come back; 0, the default, says that nothing is known. */
+  /** Retry-after time; 0, the default, means unknown. */
   readonly retryAfterMs?: number;
   readonly candidates?: readonly string[];
 }
--- a/src/core/residencywait/holdorrefuse.ts
+++ b/src/core/residencywait/holdorrefuse.ts
@@ -1,5 +1,5 @@
 import type { Ms } from '../../base/index.js';
-import { comeBackMs } from '../comeback/index.js';
+import { spreadRetryAfterMs } from '../retryafter/index.js';
 import type { ResidencyWait } from './residencywait.js';
 
 type Decision = { readonly type: 'hold' } | { readonly type: 'refuse'; readonly retryAfterMs: Ms };
@@ -38,6 +38,6 @@
   if (heldMs + inMs <= maxHoldMs) return { type: 'hold' };
   const readyMs = Math.max(0, inMs) * (1 + SPREAD_SHARE * place) + RETRY_MARGIN_MS;
   // Loads may finish late: a retry that comes too early fails, one that comes a little later costs only the delay.
-  const retryAfterMs = Math.max(readyMs, comeBackMs(remainingMs, place));
+  const retryAfterMs = Math.max(readyMs, spreadRetryAfterMs(remainingMs, place));
   return { type: 'refuse', retryAfterMs: Math.round(retryAfterMs) };
 }
--- a/src/core/retrybudget/retrybudget.ts
+++ b/src/core/retrybudget/retrybudget.ts
@@ -1,34 +1,34 @@
 import type { Ms } from '../../base/index.js';
-import { Window } from './window.js';
+import { SlidingWindow } from './slidingwindow.js';
 
-/** Bounds of repeats. */
+/** Limits on retries. */
 interface BudgetLimits {
   readonly windowMs: Ms;
-  /** Repeats for each request. */
+  /** Retries allowed for each request in the window. */
   readonly ratio: number;
-  /** Repeats beyond that in a window; it changes with the number of those who share it. */
+  /** Retries allowed beyond that in a window; depends on the number of entries that share it. */
   readonly slack: () => number;
 }
 
-/** One entry's share of a service's retry budget: it holds whatever the others do with theirs. */
+/** One entry's share of a service's retry budget, enforced independently of the other entries. */
 export class RetryBudget {
-  private readonly requests = new Window();
+  private readonly requests = new SlidingWindow();
 
-  private readonly repeats = new Window();
+  private readonly retries = new SlidingWindow();
 
   constructor(private readonly limits: BudgetLimits) {}
 
-  /** A caller's request for the service has come. */
+  /** Counts a caller's request to the service. */
   request(nowMs: Ms): void {
     this.requests.add(nowMs);
   }
 
-  /** Takes one repeat, if there is one left. */
+  /** Takes one retry; returns false if none is left. */
   take(nowMs: Ms): boolean {
     const { windowMs, ratio, slack } = this.limits;
     const allowed = ratio * this.requests.count(nowMs, windowMs) + slack();
-    if (this.repeats.count(nowMs, windowMs) + 1 > allowed) return false;
-    this.repeats.add(nowMs);
+    if (this.retries.count(nowMs, windowMs) + 1 > allowed) return false;
+    this.retries.add(nowMs);
     return true;
   }
 }
--- a/src/core/retrybudget/window.ts
+++ b/src/core/retrybudget/slidingwindow.ts
@@ -1,7 +1,7 @@
 import type { Ms } from '../../base/index.js';
 
-/** Times in a window, oldest first. */
-export class Window {
+/** Counts events in a sliding time window. */
+export class SlidingWindow {
   private times: Ms[] = [];
 
   private from = 0;
--- a/src/core/routetable/judgement.ts
+++ b/src/core/routetable/accessdecision.ts
@@ -1,15 +1,15 @@
 import type { CustomerSpec } from '../access/index.js';
 import type { Route } from './route.js';
 
-/** Whether a configuration lets a request through, and as whose. */
-export type Judgement =
+/** Whether the configuration allows a request, and on behalf of which customer. */
+export type AccessDecision =
   | {
       readonly type: 'allowed';
       readonly route: Route;
-      /** Absent where the route needs no key and none that is known came, or there are no keys at all. */
+      /** Absent if no keys are configured, or if the route needs no key and the request has no known one. */
       readonly customer?: CustomerSpec;
     }
   | { readonly type: 'route-unknown' }
   | { readonly type: 'key-unknown' }
-  /** The configuration that is known here may be too old to say. */
+  /** The configuration known to this entry may be too old to decide. */
   | { readonly type: 'outdated' };
--- a/src/core/routetable/judge.ts
+++ b/src/core/routetable/decideaccess.ts
@@ -1,17 +1,20 @@
 import type { KeyHash } from '../../base/index.js';
 import { findRoute } from './findroute.js';
-import type { Judgement } from './judgement.js';
+import type { AccessDecision } from './accessdecision.js';
 import type { RouteTable } from './routetable.js';
 
-/** What a request shows of itself before anything is done for it. */
-interface Asked {
+/** The attributes of a request on which access depends. */
+interface RequestAttributes {
   readonly host: string;
   readonly path: string;
   readonly keyHash: KeyHash | undefined;
 }
 
-/** The route comes first: a path that nobody serves is unknown whoever asks for it. */
-export function judge(table: RouteTable, { host, path, keyHash }: Asked): Judgement {
+/** Decides whether a request is allowed. Routes are checked before keys: an unknown path is unknown with any key. */
+export function decideAccess(
+  table: RouteTable,
+  { host, path, keyHash }: RequestAttributes,
+): AccessDecision {
   const route = findRoute(table, host, path);
   if (!route) return { type: 'route-unknown' };
   const { access } = table;
--- a/src/core/routetable/findroute.ts
+++ b/src/core/routetable/findroute.ts
@@ -1,7 +1,7 @@
 import type { Route } from './route.js';
 import type { RouteTable } from './routetable.js';
 
-/** The route with the longest prefix that begins the path, among those of the host. */
+/** Returns the host's route with the longest matching path prefix. */
 export function findRoute(table: RouteTable, host: string, path: string): Route | undefined {
   for (const route of table.routesByHost.get(host) ?? []) {
     if (path.startsWith(route.pathPrefix)) return route;
--- a/src/core/routetable/modelspec.ts
+++ b/src/core/routetable/modelspec.ts
@@ -1,15 +1,15 @@
 import type { ModelId, Ms } from '../../base/index.js';
 
-/** One model that a service offers. */
+/** Configuration of one model of a service. */
 export interface ModelSpec {
   readonly id: ModelId;
   readonly sizeMb: number;
   readonly adapterCount: number;
   readonly adapterSizeMb: number;
-  /** Time of a load from the weight store. */
+  /** Time to load it from the weight store. */
   readonly loadMs: Ms;
-  /** Time of a load where the host still has the weights on its disk. */
+  /** Time to load it on a host that has the weights on disk. */
   readonly diskLoadMs: Ms;
-  /** Time of a load where the host still has the weights in its memory. */
+  /** Time to load it on a host that has the weights in memory. */
   readonly warmLoadMs: Ms;
 }
--- a/src/core/routetable/route.ts
+++ b/src/core/routetable/route.ts
@@ -1,29 +1,29 @@
 import type { Ms, ServiceId } from '../../base/index.js';
 
-/** How a request of a route may be repeated. */
+/** Whether and how requests of a route may be retried. */
 type RouteKind = 'idempotent' | 'non-idempotent' | 'streaming';
 
-/** A rule that sends requests of a host and path to a service. */
+/** A rule that maps requests of a host and path prefix to services. */
 export interface Route {
   readonly name: string;
   readonly host: string;
   /** Begins and ends with a slash. */
   readonly pathPrefix: string;
   readonly kind: RouteKind;
-  /** Longest time that a caller is kept waiting for a final answer. */
+  /** Longest time until the caller has a final answer. */
   readonly timeoutMs: Ms;
-  /** An answer (or a stream's first event) within this time is worth its full credit. */
+  /** An answer, or the first event of a stream, is on time within this latency. */
   readonly targetLatencyMs: Ms;
-  /** A stream with a longer pause between events is late. */
+  /** A stream is late if the gap between two events is longer. */
   readonly gapTargetMs: Ms;
   /** 0 is the most urgent. */
   readonly priority: number;
   /** One service, or several with their weights. */
   readonly destinations: readonly { readonly service: ServiceId; readonly weight: number }[];
-  /** Most upstreams that may run one request. */
+  /** Maximum number of upstreams that may run one request. */
   readonly maxAttempts: number;
   /** True if callers need no key. */
   readonly isPublic: boolean;
-  /** True if a broken stream may be continued at another upstream. */
+  /** True if an interrupted stream may be continued at another upstream. */
   readonly isResumable: boolean;
 }
--- a/src/core/routetable/routetable.ts
+++ b/src/core/routetable/routetable.ts
@@ -3,7 +3,7 @@
 import type { Route } from './route.js';
 import type { ServiceSpec } from './servicespec.js';
 
-/** Bounds on what a caller may send. */
+/** Limits on the requests of callers. */
 interface CallerLimits {
   readonly headerBytes: number;
   readonly bodyBytes: number;
@@ -11,13 +11,13 @@
   readonly idleTimeoutMs: Ms;
 }
 
-/** A whole configuration: one version replaces another as a unit. */
+/** A complete configuration; a new version replaces the previous one as a whole. */
 export interface RouteTable {
   readonly version: number;
-  /** Routes of each host, longest prefix first. */
+  /** Routes by host, longest path prefix first. */
   readonly routesByHost: ReadonlyMap<string, readonly Route[]>;
   readonly services: ReadonlyMap<ServiceId, ServiceSpec>;
   readonly limits: CallerLimits;
-  /** Absent where the configuration knows no keys: then whoever asks is served. */
+  /** Absent if the configuration has no keys: then all callers are served. */
   readonly access?: AccessTable;
 }
--- a/src/core/routing/adoptload.ts
+++ b/src/core/routing/adoptload.ts
@@ -2,7 +2,7 @@
 import type { UpstreamLoad } from '../../wire/index.js';
 import type { UpstreamView } from './upstreamview.js';
 
-/** Takes an upstream's report of its load, unless a newer one is known. */
+/** Applies a load report of an upstream unless a newer one is known. */
 export function adoptLoad(
   view: UpstreamView,
   load: UpstreamLoad | undefined,
--- a/src/core/routing/askrescue.ts
+++ b/src/core/routing/askrescue.ts
@@ -13,9 +13,9 @@
 }
 
 /**
- * Upstreams in the order in which a load is asked for: those that hold the model already (and lack
- * only the adapter), those with room, the rest; each in the model's rendezvous order, so that all
- * entries ask the same one.
+ * Returns the upstreams in the order in which they are asked to load a model: first those that hold the model and lack
+ * only the adapter, then those with enough free memory, then the rest. Each group is in the model's rendezvous order,
+ * so that all entries ask the same upstream.
  */
 function order(state: RoutingState, target: Target, nowMs: Ms): UpstreamView[] {
   const live = [...state.upstreams.values()].filter(
@@ -39,7 +39,7 @@
   return live.sort((a, b) => score(a) - score(b) || (rank.get(a.id) ?? 0) - (rank.get(b.id) ?? 0));
 }
 
-/** Asks the next upstream in the model's order for the load; undefined if all were asked. */
+/** Asks the next upstream in the model's order for an on-demand load; undefined if all have been asked. */
 export function askRescue(
   state: RoutingState,
   target: Target,
@@ -49,7 +49,7 @@
   const key = loadKey(target);
   const before = state.rescues.get(key);
   const { sharing = false, asked = [] } = before ?? {};
-  const isOver = asked.length >= routingLimits.rescueAsks;
+  const isOver = asked.length >= routingLimits.rescueAttempts;
   const next = order(state, target, nowMs).find(({ id }) => !asked.includes(id));
   if (isOver || !next) {
     if (sharing || asked.length === 0) return undefined;
@@ -63,7 +63,7 @@
     upstream: next.id,
     asked: [...asked, next.id],
     sharing,
-    untilMs: nowMs + routingLimits.rescueAnswerMs,
+    untilMs: nowMs + routingLimits.rescueReplyTimeoutMs,
   };
   const { id: upstream, sidecarAddress } = next;
   return {
--- a/src/core/routing/breaker.ts
+++ b/src/core/routing/breaker.ts
@@ -1,12 +1,12 @@
 import type { Ms } from '../../base/index.js';
 
-/** Circuit breaker of one upstream. `half-open` lets one request through to try it. */
+/** Circuit breaker of one upstream. While `half-open`, it lets one trial request through. */
 export interface Breaker {
   readonly phase: 'closed' | 'open' | 'half-open';
-  /** Failures in a row. */
+  /** Number of consecutive failures. */
   readonly failures: number;
   readonly openedAtMs: Ms;
-  /** How long it stays open this time. */
+  /** Time for which it stays open. */
   readonly coolMs: Ms;
   /** When the last trial request was sent. */
   readonly triedAtMs: Ms;
--- a/src/core/routing/closedbreaker.ts
+++ b/src/core/routing/closedbreaker.ts
@@ -1,6 +1,6 @@
 import type { Breaker } from './breaker.js';
 
-/** A breaker that lets everything through. */
+/** The initial breaker state: all requests pass. */
 export const closedBreaker: Breaker = {
   phase: 'closed',
   failures: 0,
--- a/src/core/routing/createrouting.ts
+++ b/src/core/routing/createrouting.ts
@@ -1,7 +1,7 @@
 import { routingLimits } from './routinglimits.js';
 import type { RoutingState } from './routingstate.js';
 
-/** Routing before anything is known. */
+/** Creates the routing state of an entry that knows no upstreams yet. */
 export function createRouting(availabilityZone: string, seed: number): RoutingState {
   return {
     availabilityZone,
@@ -14,6 +14,6 @@
     rescues: new Map(),
     retryTokens: routingLimits.retryTokens,
     loadMsPerByte: routingLimits.loadMsPerByte,
-    warmth: new Map(),
+    prefixScores: new Map(),
   };
 }
--- a/src/core/routing/expectedreadyms.ts
+++ b/src/core/routing/expectedreadyms.ts
@@ -5,8 +5,8 @@
 import type { RoutingState } from './routingstate.js';
 
 /**
- * When a model that is being loaded should be ready: by a sidecar's word, else by what loads have
- * taken. Undefined if nobody is known to load it.
+ * Returns when a model that is being loaded should be ready: as estimated by the loading sidecar, otherwise from the
+ * duration of earlier loads. Undefined if no upstream is known to load it.
  */
 export function expectedReadyMs(state: RoutingState, target: Target, nowMs: Ms): Ms | undefined {
   const rescue = state.rescues.get(loadKey(target));
--- a/src/core/routing/forgetrequest.ts
+++ b/src/core/routing/forgetrequest.ts
@@ -12,7 +12,7 @@
   return waiting;
 }
 
-/** Counts a request no longer, neither at its upstream nor among those that wait. */
+/** Removes a request from the in-flight count of its upstream and from the waiting requests. */
 export function forgetRequest(state: RoutingState, requestId: RequestId): RoutingState {
   const sent = state.inFlight.get(requestId);
   const waiting = state.waiting.size > 0 ? withoutWaiter(state, requestId) : state.waiting;
--- a/src/core/routing/freeatms.ts
+++ b/src/core/routing/freeatms.ts
@@ -2,7 +2,7 @@
 import { routingLimits } from './routinglimits.js';
 import type { UpstreamView } from './upstreamview.js';
 
-/** When an upstream can take a request of the kind: `nowMs` if it can now, `Infinity` if it leaves. */
+/** Returns when an upstream can take a request of the kind: `nowMs` if it can now, `Infinity` if it is leaving. */
 export function freeAtMs(view: UpstreamView, kind: KindName, nowMs: Ms): Ms {
   if (view.phase === 'leaving' || view.phase === 'gone') return Infinity;
   const { breaker } = view;
@@ -11,5 +11,5 @@
   if (breaker.phase === 'open') {
     return Math.max(fullUntilMs, breaker.openedAtMs + breaker.coolMs);
   }
-  return Math.max(fullUntilMs, breaker.triedAtMs + routingLimits.trialMs);
+  return Math.max(fullUntilMs, breaker.triedAtMs + routingLimits.trialTimeoutMs);
 }
--- a/src/core/routing/heldelsewhere.ts
+++ b/src/core/routing/heldelsewhere.ts
@@ -2,9 +2,10 @@
 import type { RoutingState } from './routingstate.js';
 
 /**
- * Models that an upstream may give up to make room: each is ready at a live upstream with a lower id. The
- * holder with the lowest id is never told so, and so the last replica stays whoever asks. Where memory does not
- * hold all models, those that have been ready since `sharedBeforeMs` make way as well: the models take turns.
+ * Returns the models that an upstream may unload to make room: each is ready at a ready upstream with a lower id. The
+ * upstream with the lowest id is never allowed to unload it, so that the last replica stays whichever entry asks. If
+ * memory cannot hold all models, those that have been ready since `sharedBeforeMs` may be unloaded too, so that models
+ * share the memory over time.
  */
 export function heldElsewhere(
   state: RoutingState,
--- a/src/core/routing/index.ts
+++ b/src/core/routing/index.ts
@@ -1,4 +1,4 @@
-/** Which upstream a request goes to, and which sidecar loads a model that no upstream holds. */
+/** Routing core: chooses the upstream of each request, and the sidecar that loads a model no upstream holds. */
 export { createRouting } from './createrouting.js';
 export { heldElsewhere } from './heldelsewhere.js';
 export { pickUpstream } from './pickupstream.js';
--- a/src/core/routing/oncached.ts
+++ b/src/core/routing/oncached.ts
@@ -6,28 +6,28 @@
 
 type Cached = Extract<RoutingEvent, { type: 'cached' }>;
 
-/** What a note is worth after events of its upstream were lost. */
-const GAP_SHARE = 0.5;
+/** Factor applied to the scores of an upstream's prefixes after cache events were lost. */
+const GAP_FACTOR = 0.5;
 
-function lower(
+function scaleScores(
   state: RoutingState,
   matches: (key: string) => boolean,
   share: number,
 ): RoutingState {
-  const warmth = new Map(state.warmth);
-  for (const [key, known] of state.warmth) {
-    if (matches(key)) warmth.set(key, { ...known, score: known.score * share });
+  const scores = new Map(state.prefixScores);
+  for (const [key, known] of state.prefixScores) {
+    if (matches(key)) scores.set(key, { ...known, score: known.score * share });
   }
-  return { ...state, warmth };
+  return { ...state, prefixScores: scores };
 }
 
-/** Takes news of an engine's prefix cache. Late or lost news only lowers what a note is worth. */
+/** Applies an event of an engine's prefix cache. Late or lost events only lower the scores of its prefixes. */
 export function onCached(state: RoutingState, event: Cached, nowMs: Ms): RoutingChange {
   const { upstream, prefixHash, change, ageMs } = event;
   const handlers = {
     stored: () => rememberPrefix(state, upstream, prefixHash, nowMs - ageMs),
-    evicted: () => lower(state, (key) => key === `${upstream} ${prefixHash}`, 0),
-    gap: () => lower(state, (key) => key.startsWith(`${upstream} `), GAP_SHARE),
+    evicted: () => scaleScores(state, (key) => key === `${upstream} ${prefixHash}`, 0),
+    gap: () => scaleScores(state, (key) => key.startsWith(`${upstream} `), GAP_FACTOR),
   };
   return { state: handlers[change](), effects: [] };
 }
--- a/src/core/routing/ondeclared.ts
+++ b/src/core/routing/ondeclared.ts
@@ -9,7 +9,7 @@
 
 const UNKNOWN_INCARNATION = 0 as Incarnation;
 
-function unknownView(declared: Declared['upstreams'][number]): UpstreamView {
+function initialView(declared: Declared['upstreams'][number]): UpstreamView {
   return {
     ...declared,
     phase: 'joining',
@@ -24,12 +24,12 @@
   };
 }
 
-/** Adopts the upstreams and models of a document and keeps what is known of those that stay. */
+/** Applies the upstreams and models of a service document; keeps the state of upstreams that remain. */
 export function onDeclared(state: RoutingState, event: Declared): RoutingChange {
   const upstreams = new Map<UpstreamId, UpstreamView>();
   for (const declared of event.upstreams) {
     const known = state.upstreams.get(declared.id);
-    upstreams.set(declared.id, known ? { ...known, ...declared } : unknownView(declared));
+    upstreams.set(declared.id, known ? { ...known, ...declared } : initialView(declared));
   }
   const modelBytes = new Map(event.models.map(({ id, sizeBytes }) => [id, sizeBytes]));
   return { state: { ...state, upstreams, modelBytes }, effects: [] };
--- a/src/core/routing/onoutcome.ts
+++ b/src/core/routing/onoutcome.ts
@@ -13,13 +13,13 @@
 
 type Ended = Extract<RoutingEvent, { type: 'outcome' }>;
 
-/** Refusals that say that the upstream's memory lacks what the request needs. */
+/** Refusals that mean that the upstream does not hold the model or adapter. */
 const ABSENT: readonly string[] = ['model-absent', 'model-unloading'];
 
-/** Refusals that say that the request's kind finds no room here for a while. */
+/** Refusals that mean that the upstream takes no requests of this kind for a while. */
 const FULL: readonly string[] = ['upstream-full', 'queue-full', 'deadline-unmeetable'];
 
-function counted(view: UpstreamView, wasCounted: boolean): UpstreamView {
+function withoutRequest(view: UpstreamView, wasCounted: boolean): UpstreamView {
   return wasCounted ? { ...view, inFlight: Math.max(0, view.inFlight - 1) } : view;
 }
 
@@ -41,10 +41,15 @@
   cancelled: undefined,
 };
 
-function learn(view: UpstreamView, event: Ended, wasCounted: boolean, nowMs: Ms): UpstreamView {
+function updateView(
+  view: UpstreamView,
+  event: Ended,
+  wasCounted: boolean,
+  nowMs: Ms,
+): UpstreamView {
   const end = ENDS[event.end];
   const breaker = end ? stepBreaker(view.breaker, end, nowMs) : view.breaker;
-  const left = counted({ ...view, breaker }, wasCounted);
+  const left = withoutRequest({ ...view, breaker }, wasCounted);
   const loaded = adoptLoad(left, event.load ?? event.refusal?.load, nowMs);
   if (event.end !== 'refused' || !event.refusal) return loaded;
   return refusedBy(loaded, event, event.refusal, nowMs);
@@ -58,7 +63,7 @@
   return { ...state, retryTokens };
 }
 
-function keepHints(state: RoutingState, event: Ended, nowMs: Ms): RoutingState {
+function updateHints(state: RoutingState, event: Ended, nowMs: Ms): RoutingState {
   const upstreams = (event.refusal?.candidates ?? []) as UpstreamId[];
   const hints = new Map(state.hints);
   if (upstreams.length > 0) hints.set(event.requestId, { upstreams, atMs: nowMs });
@@ -66,16 +71,16 @@
   return { ...state, hints };
 }
 
-/** Learns load and health from the end of one attempt. */
+/** Updates load, health and prefix scores from the outcome of one attempt. */
 export function onOutcome(state: RoutingState, event: Ended, nowMs: Ms): RoutingChange {
   const sent = state.inFlight.get(event.requestId);
   const wasCounted = sent?.upstream === event.upstream;
   const inFlight = new Map(state.inFlight);
   if (wasCounted) inFlight.delete(event.requestId);
   const seen = withView({ ...state, inFlight }, event.upstream, (view) =>
-    learn(view, event, wasCounted, nowMs),
+    updateView(view, event, wasCounted, nowMs),
   );
-  const hinted = keepHints(seen, event, nowMs);
+  const hinted = updateHints(seen, event, nowMs);
   if (event.end !== 'answered') return { state: hinted, effects: [] };
   const earned = earnRetry(hinted);
   return { state: rememberPrefix(earned, event.upstream, event.prefixHash, nowMs), effects: [] };
--- a/src/core/routing/onrecorded.ts
+++ b/src/core/routing/onrecorded.ts
@@ -2,8 +2,8 @@
 import type { Resident, UpstreamRecord } from '../../wire/index.js';
 import { adoptLoad } from './adoptload.js';
 import { loadKey } from './loadkey.js';
-import { release } from './release.js';
-import { renewed } from './renewed.js';
+import { releaseWaiters } from './releasewaiters.js';
+import { withIncarnation } from './withincarnation.js';
 import type { Rescue } from './rescue.js';
 import type { RoutingChange } from './routingchange.js';
 import type { RoutingState } from './routingstate.js';
@@ -13,8 +13,8 @@
 
 type Phase = 'loading' | 'ready' | 'unloading';
 
-/** Weight of a new measurement of load times. */
-const LEARNING_SHARE = 0.3;
+/** Weight of a new sample in the average load time. */
+const SAMPLE_WEIGHT = 0.3;
 
 function residentsOf(
   view: UpstreamView,
@@ -35,7 +35,7 @@
 
 function adopt(view: UpstreamView, record: UpstreamRecord, nowMs: Ms): UpstreamView {
   const incarnation = record.incarnation as Incarnation;
-  const current = incarnation > view.incarnation ? renewed(view, incarnation) : view;
+  const current = incarnation > view.incarnation ? withIncarnation(view, incarnation) : view;
   const adopted = {
     ...current,
     residents: residentsOf(current, record.residents, nowMs),
@@ -58,13 +58,13 @@
     const sizeBytes = state.modelBytes.get(model) ?? 0;
     if (phase !== 'ready' || earlier?.phase !== 'loading' || sizeBytes === 0) continue;
     const seen = (nowMs - earlier.sinceMs) / sizeBytes;
-    loadMsPerByte += LEARNING_SHARE * (seen - loadMsPerByte);
+    loadMsPerByte += SAMPLE_WEIGHT * (seen - loadMsPerByte);
   }
   return { ...state, loadMsPerByte };
 }
 
-/** Forgets the loads whose model now serves somewhere. */
-function settleRescues(state: RoutingState): RoutingState {
+/** Drops the on-demand loads whose target an upstream now serves. */
+function dropServedRescues(state: RoutingState): RoutingState {
   const views = [...state.upstreams.values()];
   const open = new Map<string, Rescue>();
   for (const rescue of state.rescues.values()) {
@@ -74,7 +74,7 @@
   return open.size === state.rescues.size ? state : { ...state, rescues: open };
 }
 
-/** Adopts a sidecar's record and sends on whoever waited for what it now holds. */
+/** Applies a sidecar's record and sends the requests that waited for what the upstream now holds. */
 export function onRecorded(state: RoutingState, record: UpstreamRecord, nowMs: Ms): RoutingChange {
   const id = record.upstream as UpstreamId;
   const before = state.upstreams.get(id);
@@ -86,5 +86,5 @@
     after,
     nowMs,
   );
-  return release(settleRescues(learnt), nowMs);
+  return releaseWaiters(dropServedRescues(learnt), nowMs);
 }
--- a/src/core/routing/onrescued.ts
+++ b/src/core/routing/onrescued.ts
@@ -11,7 +11,7 @@
 
 type Rescued = Extract<RoutingEvent, { type: 'rescued' }>;
 
-function accepted(state: RoutingState, rescue: Rescue, readyInMs: Ms, nowMs: Ms): RoutingChange {
+function accept(state: RoutingState, rescue: Rescue, readyInMs: Ms, nowMs: Ms): RoutingChange {
   const key = loadKey(rescue.target);
   const estimateMs = readyInMs > 0 ? readyInMs : loadTimeMs(state, rescue.target.model);
   const untilMs = nowMs + estimateMs;
@@ -42,13 +42,13 @@
   return refuseWaiters({ ...state, rescues }, key, reason, () => true);
 }
 
-/** Takes a sidecar's answer to a request for a load; a refusal goes on to the next upstream. */
+/** Handles a sidecar's answer to an on-demand load request; after a refusal, asks the next upstream. */
 export function onRescued(state: RoutingState, event: Rescued, nowMs: Ms): RoutingChange {
   const rescue = state.rescues.get(loadKey(event.target));
   if (rescue?.phase !== 'asked' || rescue.upstream !== event.upstream) {
     return { state, effects: [] };
   }
-  if (event.reply?.accepted) return accepted(state, rescue, event.reply.estimatedReadyMs, nowMs);
+  if (event.reply?.accepted) return accept(state, rescue, event.reply.estimatedReadyMs, nowMs);
   const waiters = state.waiting.get(loadKey(event.target)) ?? [];
   const deadlineMs = Math.max(
     routingLimits.retryAfterMs,
@@ -56,6 +56,6 @@
   );
   const next = askRescue(state, event.target, deadlineMs, nowMs);
   if (next) return next;
-  const toldMs = event.reply?.refusal?.retryAfterMs ?? 0;
-  return giveUp(state, rescue, Math.max(toldMs, routingLimits.retryAfterMs), nowMs);
+  const sidecarRetryMs = event.reply?.refusal?.retryAfterMs ?? 0;
+  return giveUp(state, rescue, Math.max(sidecarRetryMs, routingLimits.retryAfterMs), nowMs);
 }
--- a/src/core/routing/ontick.ts
+++ b/src/core/routing/ontick.ts
@@ -2,7 +2,7 @@
 import { askRescue } from './askrescue.js';
 import { expectedReadyMs } from './expectedreadyms.js';
 import { refuseWaiters } from './refusewaiters.js';
-import { release } from './release.js';
+import { releaseWaiters } from './releasewaiters.js';
 import type { Rescue } from './rescue.js';
 import type { RoutingChange } from './routingchange.js';
 import type { RoutingEffect } from './routingeffect.js';
@@ -22,9 +22,11 @@
   return changed ? { ...state, upstreams } : state;
 }
 
-/** A request whose end nobody told no longer counts at its upstream. */
-function forget(state: RoutingState, nowMs: Ms): RoutingState {
-  const old = [...state.inFlight].filter(([, { atMs }]) => nowMs - atMs > routingLimits.forgetMs);
+/** Removes requests whose outcome was never reported from the in-flight counts. */
+function expireInFlight(state: RoutingState, nowMs: Ms): RoutingState {
+  const old = [...state.inFlight].filter(
+    ([, { atMs }]) => nowMs - atMs > routingLimits.inFlightExpiryMs,
+  );
   if (old.length === 0) return state;
   const inFlight = new Map(state.inFlight);
   const upstreams = new Map(state.upstreams);
@@ -36,9 +38,9 @@
   return { ...state, inFlight, upstreams };
 }
 
-function forgetHints(state: RoutingState, nowMs: Ms): RoutingState {
+function expireHints(state: RoutingState, nowMs: Ms): RoutingState {
   const hints = new Map(
-    [...state.hints].filter(([, { atMs }]) => nowMs - atMs <= routingLimits.forgetMs),
+    [...state.hints].filter(([, { atMs }]) => nowMs - atMs <= routingLimits.inFlightExpiryMs),
   );
   return hints.size === state.hints.size ? state : { ...state, hints };
 }
@@ -56,8 +58,8 @@
   return nowMs > rescue.untilMs + GIVE_UP_MS[rescue.phase];
 }
 
-/** Asks the next upstream where a load was lost with its upstream or its order. */
-function renewRescues(start: RoutingState, nowMs: Ms): RoutingChange {
+/** Asks the next upstream for each on-demand load that timed out or whose upstream was lost. */
+function retryRescues(start: RoutingState, nowMs: Ms): RoutingChange {
   let state = start;
   const effects: RoutingEffect[] = [];
   for (const [key, rescue] of start.rescues) {
@@ -77,7 +79,7 @@
   return { state, effects };
 }
 
-function expire(start: RoutingState, nowMs: Ms): RoutingChange {
+function refuseExpired(start: RoutingState, nowMs: Ms): RoutingChange {
   let state = start;
   const effects: RoutingEffect[] = [];
   for (const [key, [first]] of start.waiting) {
@@ -101,11 +103,11 @@
   return { state, effects };
 }
 
-/** Carries out what only time brings: breakers cool, loads are given up, waiters are refused. */
+/** Handles the passing of time: half-opens breakers, retries lost loads, sends or refuses waiting requests. */
 export function onTick(start: RoutingState, nowMs: Ms): RoutingChange {
-  let state = forgetHints(forget(coolBreakers(start, nowMs), nowMs), nowMs);
+  let state = expireHints(expireInFlight(coolBreakers(start, nowMs), nowMs), nowMs);
   const effects: RoutingEffect[] = [];
-  for (const work of [renewRescues, release, expire]) {
+  for (const work of [retryRescues, releaseWaiters, refuseExpired]) {
     const change = work(state, nowMs);
     state = change.state;
     effects.push(...change.effects);
--- a/src/core/routing/onwant.ts
+++ b/src/core/routing/onwant.ts
@@ -10,22 +10,22 @@
 import type { RoutingState } from './routingstate.js';
 import { send } from './send.js';
 import { serves } from './serves.js';
-import { turnAway } from './turnaway.js';
+import { refuseRequest } from './refuserequest.js';
 import type { UpstreamView } from './upstreamview.js';
 import { waitForLoad } from './waitforload.js';
 
-type Attempt = (state: RoutingState, want: RouteWant, nowMs: Ms) => RoutingChange | undefined;
+type Rule = (state: RoutingState, want: RouteWant, nowMs: Ms) => RoutingChange | undefined;
 
 function servingNow(state: RoutingState, want: RouteWant): UpstreamView[] {
   return [...state.upstreams.values()].filter((view) => serves(view, want.target));
 }
 
-/** A ticket's request goes to its upstream and nowhere else. */
-const toBound: Attempt = (state, want, nowMs) => {
+/** Sends a request bound by a ticket to its upstream, never to another. */
+const toBound: Rule = (state, want, nowMs) => {
   if (!want.bound) return undefined;
   const view = state.upstreams.get(want.bound.upstream);
   if (view && view.phase !== 'gone') return send(state, want, view, nowMs);
-  return turnAway(state, want, {
+  return refuseRequest(state, want, {
     type: 'ticket-upstream-gone',
     detail: 'The upstream that issued the ticket is gone; whether the request ran is not known.',
     executed: Executed.EXECUTED_UNKNOWN,
@@ -36,17 +36,17 @@
   return tried.length > 0 || again === true;
 }
 
-/** Retries are kept to a share of the answers, so that an outage does not multiply the load. */
-const withinBudget: Attempt = (state, want) => {
+/** Refuses retries beyond a fraction of the answers, so that an outage does not multiply the load. */
+const checkRetryBudget: Rule = (state, want) => {
   if (!isRetry(want) || state.retryTokens >= 1) return undefined;
-  return turnAway(state, want, {
+  return refuseRequest(state, want, {
     type: 'retry-budget-spent',
     detail: 'Too many requests fail at present for this one to be tried again.',
     retryAfterMs: routingLimits.retryAfterMs,
   });
 };
 
-const toHinted: Attempt = (state, want, nowMs) => {
+const toHinted: Rule = (state, want, nowMs) => {
   const hinted = state.hints.get(want.requestId);
   for (const id of hinted?.upstreams ?? []) {
     const view = state.upstreams.get(id);
@@ -57,14 +57,14 @@
   return undefined;
 };
 
-const toServing: Attempt = (state, want, nowMs) => {
+const toServing: Rule = (state, want, nowMs) => {
   const view = pickUpstream(state, servingNow(state, want), want, nowMs);
   return view ? send(state, want, view, nowMs) : undefined;
 };
 
 /**
- * Whether waiting for this upstream is better than loading the model elsewhere. One that has just
- * failed this request, or keeps failing after its breaker's first pause, is not.
+ * True if waiting for this upstream is better than loading the model elsewhere. It is not for an upstream that has just
+ * failed this request, or that keeps failing after its breaker first opened.
  */
 function isWorthWaiting({ breaker, ...view }: UpstreamView, want: RouteWant): boolean {
   if (view.phase === 'leaving' || view.phase === 'gone') return false;
@@ -72,20 +72,22 @@
   return breaker.phase === 'closed' || breaker.coolMs <= routingLimits.retryAfterMs;
 }
 
-/** All who could answer are full or have refused: says when the first should have room again. */
-const busy: Attempt = (state, want, nowMs) => {
-  const worth = servingNow(state, want).filter((view) => isWorthWaiting(view, want));
-  if (worth.length === 0) return undefined;
-  const freeMs = Math.min(...worth.map((view) => freeAtMs(view, want.target.kind.name, nowMs)));
-  return turnAway(state, want, {
+/** Refuses a request if all suitable upstreams are full or refused it; reports when the first should have capacity. */
+const busy: Rule = (state, want, nowMs) => {
+  const candidates = servingNow(state, want).filter((view) => isWorthWaiting(view, want));
+  if (candidates.length === 0) return undefined;
+  const freeMs = Math.min(
+    ...candidates.map((view) => freeAtMs(view, want.target.kind.name, nowMs)),
+  );
+  return refuseRequest(state, want, {
     type: 'upstreams-busy',
     detail: 'Every upstream that could answer this request is full or has refused it.',
     retryAfterMs: freeMs > nowMs ? freeMs - nowMs : routingLimits.retryAfterMs,
   });
 };
 
-/** Before its first record nothing is known of an upstream's memory: its sidecar will tell. */
-const toUnrecorded: Attempt = (state, want, nowMs) => {
+/** Tries an upstream whose models are unknown because no record has arrived yet; its sidecar decides. */
+const toUnrecorded: Rule = (state, want, nowMs) => {
   const { model, kind } = want.target;
   if (model === undefined) return undefined;
   const views = [...state.upstreams.values()].filter(
@@ -103,25 +105,25 @@
   return view ? send(state, want, view, nowMs) : undefined;
 };
 
-const toLoad: Attempt = (state, want, nowMs) =>
+const toLoad: Rule = (state, want, nowMs) =>
   want.target.model === undefined ? undefined : waitForLoad(state, want, nowMs);
 
-const nobody: Attempt = (state, want) =>
-  turnAway(state, want, {
+const refuseNoUpstream: Rule = (state, want) =>
+  refuseRequest(state, want, {
     type: 'no-upstream',
     detail: 'No upstream is left to try.',
     retryAfterMs: routingLimits.retryAfterMs,
   });
 
-const ATTEMPTS: readonly Attempt[] = [
+const RULES: readonly Rule[] = [
   toBound,
-  withinBudget,
+  checkRetryBudget,
   toHinted,
   toServing,
   busy,
   toUnrecorded,
   toLoad,
-  nobody,
+  refuseNoUpstream,
 ];
 
 function spendRetry(state: RoutingState, want: RouteWant): RoutingState {
@@ -129,9 +131,9 @@
   return { ...state, retryTokens: state.retryTokens - 1 };
 }
 
-/** Finds the first way to serve a request: an upstream, a load to wait for, or a refusal. */
+/** Applies the first rule that decides a request: an upstream, a load to wait for, or a refusal. */
 export function onWant(state: RoutingState, want: RouteWant, nowMs: Ms): RoutingChange {
-  for (const attempt of ATTEMPTS) {
+  for (const attempt of RULES) {
     const change = attempt(state, want, nowMs);
     if (change) return { ...change, state: spendRetry(change.state, want) };
   }
--- a/src/core/routing/pickupstream.ts
+++ b/src/core/routing/pickupstream.ts
@@ -6,18 +6,18 @@
 import type { RouteWant } from './routewant.js';
 import type { RoutingState } from './routingstate.js';
 import type { UpstreamView } from './upstreamview.js';
-import { warmthOf } from './warmthof.js';
+import { prefixScore } from './prefixscore.js';
 
-interface Loaded {
+interface Candidate {
   readonly view: UpstreamView;
   readonly load: number;
 }
 
-function atHand(
+function available(
   serving: readonly UpstreamView[],
   { target, tried }: RouteWant,
   nowMs: Ms,
-): readonly Loaded[] {
+): readonly Candidate[] {
   const free = serving.filter(
     (view) => !tried.includes(view.id) && freeAtMs(view, target.kind.name, nowMs) <= nowMs,
   );
@@ -28,60 +28,60 @@
   }));
 }
 
-/** Stays in the entry's own availability zone while somebody there has room. */
-function nearest(state: RoutingState, all: readonly Loaded[]): readonly Loaded[] {
-  const near = all.filter(
+/** Keeps to the entry's own availability zone while an upstream there has capacity. */
+function preferLocalZone(state: RoutingState, all: readonly Candidate[]): readonly Candidate[] {
+  const local = all.filter(
     ({ view, load }) =>
       view.availabilityZone === state.availabilityZone && load < routingLimits.spillLoad,
   );
-  return near.length > 0 ? near : all;
+  return local.length > 0 ? local : all;
 }
 
-/** The upstream that has, or should have, the prompt's prefix in its cache, if it is not too loaded. */
+/** Returns the upstream that has, or should have, the prompt's prefix in its cache, unless its load is too high. */
 function byPrefix(
   state: RoutingState,
-  pool: readonly Loaded[],
+  pool: readonly Candidate[],
   prefixHash: string,
   nowMs: Ms,
 ): UpstreamView | undefined {
   if (!prefixHash) return undefined;
   const mean = pool.reduce((sum, { load }) => sum + load, 0) / pool.length;
   const bound = Math.max(routingLimits.affinityFloor, mean * routingLimits.affinityBound);
-  const known = new Map(pool.map((loaded) => [loaded.view.id, loaded]));
+  const known = new Map(pool.map((candidate) => [candidate.view.id, candidate]));
   const order = rendezvous<UpstreamId>(prefixHash, [...known.keys()]);
   const warm = order.filter(
-    (id) => warmthOf(state, id, prefixHash, nowMs) >= routingLimits.warmthThreshold,
+    (id) => prefixScore(state, id, prefixHash, nowMs) >= routingLimits.prefixThreshold,
   );
   for (const id of [...warm, ...order.slice(0, 2)]) {
-    const loaded = known.get(id);
-    if (loaded && loaded.load <= bound) return loaded.view;
+    const candidate = known.get(id);
+    if (candidate && candidate.load <= bound) return candidate.view;
   }
   return undefined;
 }
 
-/** The less loaded of two that the seed and the request's id pick. */
-function lessOfTwo(
+/** Returns the less loaded of two upstreams chosen by the seed and the request id (power of two choices). */
+function lessLoadedOfTwo(
   state: RoutingState,
-  pool: readonly Loaded[],
+  pool: readonly Candidate[],
   want: RouteWant,
 ): UpstreamView | undefined {
   const hash = hash32(`${want.requestId} ${want.tried.length}`, state.seed);
   const first = pool[hash % pool.length];
   if (pool.length < 2) return first?.view;
-  const rest = pool.filter((loaded) => loaded !== first);
+  const rest = pool.filter((candidate) => candidate !== first);
   const second = rest[hash32(want.requestId, hash) % rest.length];
   if (!first || !second) return first?.view;
   return second.load < first.load ? second.view : first.view;
 }
 
-/** Chooses among the upstreams that can answer a request, or tells that none is free. */
+/** Chooses among the upstreams that can answer a request; undefined if none is free. */
 export function pickUpstream(
   state: RoutingState,
   serving: readonly UpstreamView[],
   want: RouteWant,
   nowMs: Ms,
 ): UpstreamView | undefined {
-  const pool = nearest(state, atHand(serving, want, nowMs));
+  const pool = preferLocalZone(state, available(serving, want, nowMs));
   if (pool.length === 0) return undefined;
-  return byPrefix(state, pool, want.prefixHash, nowMs) ?? lessOfTwo(state, pool, want);
+  return byPrefix(state, pool, want.prefixHash, nowMs) ?? lessLoadedOfTwo(state, pool, want);
 }
--- a/src/core/routing/turnaway.ts
+++ b/src/core/routing/refuserequest.ts
@@ -5,14 +5,14 @@
 import type { RoutingChange } from './routingchange.js';
 import type { RoutingState } from './routingstate.js';
 
-/** Refuses a request at once. Nothing of it was sent, unless `executed` says otherwise. */
-export function turnAway(
+/** Refuses a request at once. It was not sent to any upstream unless `executed` says otherwise. */
+export function refuseRequest(
   state: RoutingState,
   { requestId }: RouteWant,
   reason: {
     readonly type: string;
     readonly detail: string;
-    /** From now; at least a millisecond if given. */
+    /** Counted from now. */
     readonly retryAfterMs?: Ms;
     readonly executed?: Executed;
   },
--- a/src/core/routing/refusewaiters.ts
+++ b/src/core/routing/refusewaiters.ts
@@ -2,10 +2,10 @@
 import type { RoutingChange } from './routingchange.js';
 import type { RoutingEffect } from './routingeffect.js';
 import type { RoutingState } from './routingstate.js';
-import { turnAway } from './turnaway.js';
+import { refuseRequest } from './refuserequest.js';
 import type { Waiter } from './waiter.js';
 
-/** Refuses those waiters of one load who match, at once, and keeps the others. */
+/** Refuses the requests waiting for one load that match; the others keep waiting. */
 export function refuseWaiters(
   state: RoutingState,
   key: string,
@@ -15,7 +15,7 @@
   const effects: RoutingEffect[] = [];
   const kept: Waiter[] = [];
   for (const waiter of state.waiting.get(key) ?? []) {
-    if (matches(waiter)) effects.push(...turnAway(state, waiter.want, reason).effects);
+    if (matches(waiter)) effects.push(...refuseRequest(state, waiter.want, reason).effects);
     else kept.push(waiter);
   }
   const waiting = new Map(state.waiting);
--- a/src/core/routing/relativeload.ts
+++ b/src/core/routing/relativeload.ts
@@ -2,21 +2,21 @@
 import { routingLimits } from './routinglimits.js';
 import type { UpstreamView } from './upstreamview.js';
 
-/** Part of its slots that the upstream offers for the model: less just after a load. */
-function ramp(view: UpstreamView, model: ModelId | undefined, nowMs: Ms): number {
+/** Returns the fraction of its slots that an upstream offers for the model: it grows after the model was loaded. */
+function slowStartFraction(view: UpstreamView, model: ModelId | undefined, nowMs: Ms): number {
   const resident = model === undefined ? undefined : view.residents.get(model);
   if (!resident) return 1;
-  const part = (nowMs - resident.sinceMs) / routingLimits.slowStartMs;
-  return Math.min(1, Math.max(routingLimits.slowStartShare, part));
+  const fraction = (nowMs - resident.sinceMs) / routingLimits.slowStartMs;
+  return Math.min(1, Math.max(routingLimits.slowStartShare, fraction));
 }
 
 /**
- * Expected load of an upstream in parts of its slots: this entry's own requests there, and the others'
- * as last reported. A report loses its worth with age, so that without reports own requests count alone.
+ * Returns the expected load of an upstream as a fraction of its slots: this entry's own requests, and those of other
+ * entries as last reported. A report's weight decays with age, so that without reports only own requests count.
  */
 export function relativeLoad(view: UpstreamView, model: ModelId | undefined, nowMs: Ms): number {
   const ageMs = view.load ? Math.max(0, nowMs - view.load.reportedAtMs) : 0;
-  const worth = Math.exp(-ageMs / routingLimits.loadDecayMs);
-  const expected = view.inFlight + (view.load?.othersCount ?? 0) * worth;
-  return expected / (Math.max(1, view.slots) * ramp(view, model, nowMs));
+  const weight = Math.exp(-ageMs / routingLimits.loadDecayMs);
+  const expected = view.inFlight + (view.load?.othersCount ?? 0) * weight;
+  return expected / (Math.max(1, view.slots) * slowStartFraction(view, model, nowMs));
 }
--- a/src/core/routing/release.ts
+++ b/src/core/routing/releasewaiters.ts
@@ -7,21 +7,21 @@
 import { serves } from './serves.js';
 import type { Waiter } from './waiter.js';
 
-function releaseOne(state: RoutingState, waiter: Waiter, nowMs: Ms): RoutingChange | undefined {
+function trySend(state: RoutingState, waiter: Waiter, nowMs: Ms): RoutingChange | undefined {
   const { want } = waiter;
   const serving = [...state.upstreams.values()].filter((view) => serves(view, want.target));
   const view = pickUpstream(state, serving, want, nowMs);
   return view ? send(state, want, view, nowMs) : undefined;
 }
 
-/** Sends on every waiter whose model has become ready. */
-export function release(start: RoutingState, nowMs: Ms): RoutingChange {
+/** Sends every waiting request whose model has become ready. */
+export function releaseWaiters(start: RoutingState, nowMs: Ms): RoutingChange {
   let state = start;
   const effects: RoutingEffect[] = [];
   for (const [key, waiters] of start.waiting) {
     const kept: Waiter[] = [];
     for (const waiter of waiters) {
-      const sent = releaseOne(state, waiter, nowMs);
+      const sent = trySend(state, waiter, nowMs);
       if (!sent) kept.push(waiter);
       else {
         state = sent.state;
--- a/src/core/routing/rememberprefix.ts
+++ b/src/core/routing/rememberprefix.ts
@@ -2,7 +2,7 @@
 import { routingLimits } from './routinglimits.js';
 import type { RoutingState } from './routingstate.js';
 
-/** Notes that an upstream has a prefix in its cache, and forgets the oldest note at the limit. */
+/** Records that an upstream has a prefix in its cache; evicts the oldest entry at the size limit. */
 export function rememberPrefix(
   state: RoutingState,
   upstream: UpstreamId,
@@ -11,12 +11,12 @@
 ): RoutingState {
   if (!prefixHash) return state;
   const key = `${upstream} ${prefixHash}`;
-  // Copying thousands of notes for each answer would cost more than the decision: the table is
-  // changed in place, and only the newest state is ever used.
-  const warmth = state.warmth as Map<string, { score: number; atMs: Ms }>;
-  warmth.delete(key);
-  warmth.set(key, { score: 1, atMs });
-  const [oldest] = warmth.keys();
-  if (warmth.size > routingLimits.warmthEntries && oldest !== undefined) warmth.delete(oldest);
+  // Copying thousands of entries for each answer would cost more than the decision, so the table is
+  // mutated in place. This is safe because only the newest state is ever used.
+  const scores = state.prefixScores as Map<string, { score: number; atMs: Ms }>;
+  scores.delete(key);
+  scores.set(key, { score: 1, atMs });
+  const [oldest] = scores.keys();
+  if (scores.size > routingLimits.prefixEntries && oldest !== undefined) scores.delete(oldest);
   return state;
 }
--- a/src/core/routing/routewant.ts
+++ b/src/core/routing/routewant.ts
@@ -5,12 +5,12 @@
 export interface RouteWant {
   readonly requestId: RequestId;
   readonly target: Target;
-  /** Hash of the prompt's leading blocks; empty if unknown. */
+  /** Hash of the leading blocks of the prompt; empty if unknown. */
   readonly prefixHash: string;
   readonly remainingMs: Ms;
   /** Upstreams that have already refused or failed this request. */
   readonly tried: readonly UpstreamId[];
-  /** True when those that failed this request are let in again: a retry, though `tried` is empty. */
+  /** True if upstreams that failed this request may be tried again: it is a retry, though `tried` is empty. */
   readonly again?: boolean;
   /** Set when a ticket binds the request to one upstream. */
   readonly bound?: { readonly upstream: UpstreamId; readonly incarnation: Incarnation };
--- a/src/core/routing/routingchange.ts
+++ b/src/core/routing/routingchange.ts
@@ -2,5 +2,5 @@
 import type { RoutingEffect } from './routingeffect.js';
 import type { RoutingState } from './routingstate.js';
 
-/** What one event does to routing. */
+/** New routing state and effects of one event. */
 export type RoutingChange = Change<RoutingState, RoutingEffect>;
--- a/src/core/routing/routingeffect.ts
+++ b/src/core/routing/routingeffect.ts
@@ -2,7 +2,7 @@
 import type { Refusal } from '../../wire/index.js';
 import type { Target } from '../document/index.js';
 
-/** What the routing core asks of its shell. */
+/** An action that the routing core asks its caller to perform. */
 export type RoutingEffect =
   | {
       readonly type: 'choose';
@@ -18,6 +18,6 @@
       readonly sidecarAddress: string;
       readonly target: Target;
       readonly deadlineMs: Ms;
-      /** Whether models that are nowhere else may make way. */
+      /** True if models without another replica may be unloaded to make room. */
       readonly sharing: boolean;
     };
--- a/src/core/routing/routingevent.ts
+++ b/src/core/routing/routingevent.ts
@@ -11,9 +11,9 @@
 import type { MemberPhase } from '../member/index.js';
 import type { RouteWant } from './routewant.js';
 
-/** What the routing core is told. */
+/** An event that the routing core reacts to. */
 export type RoutingEvent =
-  /** The service's document, at the start and after each change. */
+  /** The upstreams and models of the service document, at the start and after each change. */
   | {
       readonly type: 'declared';
       readonly upstreams: readonly {
@@ -44,16 +44,16 @@
       readonly load?: UpstreamLoad;
       readonly refusal?: Refusal;
     }
-  /** The request needs no upstream any more: its caller has gone, or it went another way. */
+  /** The request needs no upstream any more: its caller disconnected, or it was handled otherwise. */
   | { readonly type: 'abandoned'; readonly requestId: RequestId }
-  /** A sidecar's answer to a request for a load; absent if it did not answer. */
+  /** A sidecar's answer to an on-demand load request; `reply` is absent if it did not answer. */
   | {
       readonly type: 'rescued';
       readonly target: Target;
       readonly upstream: UpstreamId;
       readonly reply?: RescueReply;
     }
-  /** What is heard of an engine's prefix cache. `gap` tells that events were lost. */
+  /** An event of an engine's prefix cache. `gap` means that events were lost. */
   | {
       readonly type: 'cached';
       readonly upstream: UpstreamId;
--- a/src/core/routing/serves.ts
+++ b/src/core/routing/serves.ts
@@ -2,7 +2,7 @@
 import { loadKey } from './loadkey.js';
 import type { UpstreamView } from './upstreamview.js';
 
-/** Whether an upstream can answer the request now: a plain route, or model and adapter in memory. */
+/** True if an upstream can answer the request now: a plain service of its kind, or model and adapter in memory. */
 export function serves(view: UpstreamView, target: Target): boolean {
   if (target.model === undefined) {
     if (view.type !== 'plain') return false;
--- a/src/core/routing/stepbreaker.ts
+++ b/src/core/routing/stepbreaker.ts
@@ -34,7 +34,7 @@
 
 const HANDLERS = { succeeded, failed, passed };
 
-/** Takes a success, a failure, or that time has passed. */
+/** Advances a breaker on a success, a failure, or the passing of time. */
 export function stepBreaker(
   breaker: Breaker,
   event: 'succeeded' | 'failed' | 'passed',
--- a/src/core/routing/steprouting.ts
+++ b/src/core/routing/steprouting.ts
@@ -32,7 +32,7 @@
   tick: (state, _event, nowMs) => onTick(state, nowMs),
 };
 
-/** Chooses upstreams for the requests of one service, and learns from what becomes of them. */
+/** Chooses upstreams for the requests of one service, and learns from their outcomes. */
 export const stepRouting: Step<RoutingState, RoutingEvent, RoutingEffect> = (
   state,
   event,
--- a/src/core/routing/upstreamview.ts
+++ b/src/core/routing/upstreamview.ts
@@ -15,13 +15,13 @@
   readonly sidecarAddress: string;
   readonly availabilityZone: string;
   readonly type: 'engine' | 'plain';
-  /** Requests that it runs at once without missing its token pace. */
+  /** Number of requests it can run concurrently while tokens keep their target pace. */
   readonly slots: number;
-  /** Kinds that its routes name; for plain services. */
+  /** For plain services: the kinds of request that its routes accept; empty if all. */
   readonly kinds: readonly KindName[];
   readonly phase: MemberPhase;
   readonly incarnation: Incarnation;
-  /** False until its sidecar's first record has come: then nothing is known of its memory. */
+  /** False until its sidecar's first record arrives; until then its memory is unknown. */
   readonly recorded: boolean;
   readonly freeBytes: number;
   readonly residents: ReadonlyMap<
@@ -29,20 +29,20 @@
     {
       readonly phase: 'loading' | 'ready' | 'unloading';
       readonly adapters: ReadonlySet<AdapterId>;
-      /** When this phase was first seen here. */
+      /** When this entry first observed the phase. */
       readonly sinceMs: Ms;
     }
   >;
-  /** What it has refused as absent since its last record: see `loadKey`. */
+  /** Keys (see `loadKey`) that it has refused as absent since its last record. */
   readonly missing: ReadonlySet<string>;
-  /** Work of others at this upstream when it last told its load. */
+  /** Requests of other entries at this upstream, as of its last load report. */
   readonly load?: {
     readonly othersCount: number;
     readonly reportedAtMs: Ms;
   };
-  /** Requests of this entry that are there now. */
+  /** Requests of this entry in flight at this upstream. */
   readonly inFlight: number;
   readonly breaker: Breaker;
-  /** Until when it has refused more work, for each kind of request. */
+  /** Until when it takes no more requests, by kind of request. */
   readonly fullUntilMs: ReadonlyMap<KindName, Ms>;
 }
--- a/src/core/routing/waitforload.ts
+++ b/src/core/routing/waitforload.ts
@@ -7,7 +7,7 @@
 import type { RoutingChange } from './routingchange.js';
 import type { RoutingEffect } from './routingeffect.js';
 import type { RoutingState } from './routingstate.js';
-import { turnAway } from './turnaway.js';
+import { refuseRequest } from './refuserequest.js';
 
 function wait(
   state: RoutingState,
@@ -21,14 +21,14 @@
   return { state: { ...state, waiting: new Map(state.waiting).set(key, waiters) }, effects };
 }
 
-function tooLate(
+function refuseLate(
   state: RoutingState,
   want: RouteWant,
   readyMs: Ms,
   nowMs: Ms,
   effects: readonly RoutingEffect[],
 ): RoutingChange {
-  const refused = turnAway(state, want, {
+  const refused = refuseRequest(state, want, {
     type: 'model-loading',
     detail: 'The model is being loaded and will not be ready before the deadline.',
     retryAfterMs: readyMs - nowMs,
@@ -36,7 +36,7 @@
   return { state, effects: [...effects, ...refused.effects] };
 }
 
-/** Waits for a load that is under way, or asks for one, if the deadline allows. One load serves all. */
+/** Waits for a load in progress, or asks for one, if the deadline allows. All waiting requests share one load. */
 export function waitForLoad(
   state: RoutingState,
   want: RouteWant,
@@ -45,7 +45,7 @@
   const deadlineAtMs = nowMs + want.remainingMs;
   const rescue = state.rescues.get(loadKey(want.target));
   if (rescue?.phase === 'refused' && rescue.untilMs > nowMs) {
-    return turnAway(state, want, {
+    return refuseRequest(state, want, {
       type: 'model-unplaced',
       detail: 'No upstream holds the model, and none has room for it now.',
       retryAfterMs: rescue.untilMs - nowMs,
@@ -54,13 +54,13 @@
   const readyMs = expectedReadyMs(state, want.target, nowMs);
   if (readyMs !== undefined) {
     return readyMs > deadlineAtMs
-      ? tooLate(state, want, readyMs, nowMs, [])
+      ? refuseLate(state, want, readyMs, nowMs, [])
       : wait(state, want, nowMs);
   }
   if (rescue?.phase === 'asked') return wait(state, want, nowMs);
   const asked = askRescue(state, want.target, want.remainingMs, nowMs);
   if (!asked) return undefined;
-  const guessMs = nowMs + loadTimeMs(state, want.target.model);
-  if (guessMs > deadlineAtMs) return tooLate(asked.state, want, guessMs, nowMs, asked.effects);
+  const etaMs = nowMs + loadTimeMs(state, want.target.model);
+  if (etaMs > deadlineAtMs) return refuseLate(asked.state, want, etaMs, nowMs, asked.effects);
   return wait(asked.state, want, nowMs, asked.effects);
 }
--- a/src/core/routing/renewed.ts
+++ b/src/core/routing/withincarnation.ts
@@ -3,10 +3,10 @@
 import type { UpstreamView } from './upstreamview.js';
 
 /**
- * An upstream whose sidecar is back under a new incarnation: a new one, of whose memory, load and health
- * nothing is known. What the earlier incarnation failed or refused is not held against it.
+ * Returns the view of an upstream whose sidecar restarted under a new incarnation: nothing is known of its memory, load
+ * and health. Failures and refusals of the previous incarnation do not count against it.
  */
-export function renewed(view: UpstreamView, incarnation: Incarnation): UpstreamView {
+export function withIncarnation(view: UpstreamView, incarnation: Incarnation): UpstreamView {
   return {
     ...view,
     incarnation,
--- a/src/core/routing/withview.ts
+++ b/src/core/routing/withview.ts
@@ -2,7 +2,7 @@
 import type { RoutingState } from './routingstate.js';
 import type { UpstreamView } from './upstreamview.js';
 
-/** Changes what is known of one upstream; one that is not declared stays unknown. */
+/** Updates the view of one upstream; ignores an upstream that is not declared. */
 export function withView(
   state: RoutingState,
   id: UpstreamId,
--- a/src/core/sharedrate/index.ts
+++ b/src/core/sharedrate/index.ts
@@ -1,4 +1,4 @@
-/** A rate that all entries keep together: one process hands out the moments at which requests may be sent. */
+/** Rate limit shared by all entries: one process assigns the time slots at which requests may be sent. */
 export { rateRules } from './raterules.js';
-export { settledAtMs } from './settledatms.js';
-export { slotGapMs } from './slotgap.js';
+export { firstSlotAtMs } from './firstslotatms.js';
+export { slotIntervalMs } from './slotintervalms.js';
--- a/src/core/sharedrate/raterules.ts
+++ b/src/core/sharedrate/raterules.ts
@@ -1,32 +1,32 @@
-/** Times and shares by which entries keep an upstream's limit together. */
+/** Constants of the rate limit of an upstream that all entries share. */
 export const rateRules = {
-  /** A slot may be used for this long, in ms: what is not sent by then is not sent, so that slots cannot pile up. */
+  /** Validity of a slot, in ms. A request not sent by then needs a new slot, so that slots cannot accumulate. */
   validMs: 300,
-  /** How late a slot may be given out without the next one being later for it, in ms. */
-  lateMs: 100,
-  /** A slot that comes with less time left than this is of no use to its request, for which it is kept so long, in ms. */
-  useMs: 40,
-  /** However little an upstream takes, it is asked this often a second whether that still holds. */
-  leastPerS: 0.1,
+  /** How late a slot may be granted without delaying the next one, in ms. */
+  maxLatenessMs: 100,
+  /** Time for which a slot is reserved for its request, in ms; a request with less time left cannot use a slot. */
+  minUsableMs: 40,
+  /** Minimum rate per second, so that an upstream whose limit is zero is still probed for a new limit. */
+  minPerS: 0.1,
   /**
-   * Part of a rate that a holder gives out whose right has lapsed: while the store is away there may be no other, and
-   * beside a successor's whole rate it stays within the excess.
+   * Fraction of a rate that the order lease holder grants after its lease has lapsed. While the store is unavailable
+   * there may be no successor; if there is one with the full rate, the sum stays within the allowed excess.
    */
   lapsedShare: 0.25,
-  /** An upstream judges what it gets by windows of this length, in ms. */
+  /** Length of the windows in which an upstream counts the requests it receives, in ms. */
   windowMs: 4000,
-  /** What it bears in a window: this many times its limit, and so many requests more. */
+  /** What an upstream tolerates in a window: `excess` times its limit, plus `slack` requests. */
   excess: 1.5,
   slack: 5,
-  /** Part of that which may lie in a window that began before the limit was known. */
+  /** Fraction of that allowed in a window that began before the limit was known. */
   knownShare: 0.8,
-  /** Requests that may stand in line for one upstream's slots, over all entries. */
-  mostInLine: 64,
-  /** Questions that an entry has under way, so that its other calls to the holder find a connection. */
-  mostAsked: 8,
-  /** After a question that had no answer, or no slot, the holder is not asked again before, in ms. */
-  leastPauseMs: 100,
-  mostPauseMs: 4000,
-  /** An upstream whose limit nobody has heard of for this long is planned for as one without, in ms. */
+  /** Maximum number of requests of all entries queued for the slots of one upstream. */
+  maxQueued: 64,
+  /** Maximum number of outstanding slot requests of an entry, so that connections remain for its other calls. */
+  maxOutstanding: 8,
+  /** Bounds of the backoff after a slot request without an answer or without a slot, in ms. */
+  minBackoffMs: 100,
+  maxBackoffMs: 4000,
+  /** Time after its last report at which an upstream's limit no longer counts in planning, in ms. */
   believedMs: 15_000,
 } as const;
--- a/src/direct/directentry.ts
+++ b/src/direct/directentry.ts
@@ -4,7 +4,7 @@
 import { quotaParts } from '../core/quota/index.js';
 import { RetryBudget } from '../core/retrybudget/index.js';
 import { rateRules } from '../core/sharedrate/index.js';
-import { judge, type Judgement, type Route, type RouteTable } from '../core/routetable/index.js';
+import { decideAccess, type AccessDecision, type Route, type RouteTable } from '../core/routetable/index.js';
 import type { Upstream } from '../core/upstreams/index.js';
 import type { ChangeFeed, KeyValue, Log, Metrics, Swap, UpstreamLink } from '../port/index.js';
 import type { Caller } from './caller.js';
@@ -250,13 +250,13 @@
     intake.start();
   }
 
-  judge(request: Caller['request']): Judgement | undefined {
+  judge(request: Caller['request']): AccessDecision | undefined {
     if (!this.table) return undefined;
-    const judged = judge(this.table, request);
+    const judged = decideAccess(this.table, request);
     return this.isOutdated(judged) ? { type: 'outdated' } : judged;
   }
 
-  private isOutdated(judged: Judgement): boolean {
+  private isOutdated(judged: AccessDecision): boolean {
     // A key that was added while the store could not be read is unknown here but valid.
     if (judged.type === 'key-unknown') return this.follower.silentMs() > 0;
     const { strictRevokeMs } = this.context.settings;
--- a/src/direct/quota/quotabook.ts
+++ b/src/direct/quota/quotabook.ts
@@ -84,14 +84,14 @@
     this.heardAtMs.set(entry, nowMs);
     const told = new Map(customers.map((one) => [one.customer, one]));
     for (const [id, bucket] of this.buckets) {
-      if (!told.has(id)) bucket.hear(entry, 0, 0, 0);
+      if (!told.has(id)) bucket.onReport(entry, 0, 0, 0);
     }
     const grants: QuotaAnswer['grants'][number][] = [];
     for (const { customer, wanted, held, returned } of customers) {
       const bucket = this.filled(customer, nowMs);
       if (!bucket) continue;
-      bucket.hear(entry, held, returned, wanted);
-      const granted = bucket.ahead(entry, this.inTouch);
+      bucket.onReport(entry, held, returned, wanted);
+      const granted = bucket.prefetch(entry, this.inTouch);
       const isEmpty = bucket.isEmpty();
       const retryAfterMs = Math.round(bucket.retryAfterMs());
       if (granted > 0 || isEmpty) grants.push({ customer, granted, isEmpty, retryAfterMs });
@@ -134,13 +134,13 @@
     for (const [entry, heardAtMs] of this.heardAtMs) {
       const silentMs = nowMs - heardAtMs;
       if (silentMs > quotaLimits.forgetMs) this.forget(entry);
-      else if (silentMs > quotaLimits.silentAfterMs) this.silent += 1;
+      else if (silentMs > quotaLimits.presumedIsolatedAfterMs) this.silent += 1;
       else this.inTouch += 1;
     }
   }
 
   private forget(entry: HostId): void {
     this.heardAtMs.delete(entry);
-    for (const bucket of this.buckets.values()) bucket.forget(entry);
+    for (const bucket of this.buckets.values()) bucket.removeEntry(entry);
   }
 }
--- a/src/direct/quota/quotadesk.ts
+++ b/src/direct/quota/quotadesk.ts
@@ -41,7 +41,7 @@
   }
 
   want(customer: CustomerId, cost: number): void {
-    this.bucket(customer).want(cost);
+    this.bucket(customer).recordDemand(cost);
   }
 
   /** Takes from what lies here; undefined if the holder has to be asked. */
@@ -50,7 +50,7 @@
     if (bucket.take(cost)) return PAID;
     const nowMs = this.options.clock.nowMs();
     if (this.isAlone(nowMs)) return this.refuse(id, this.unknown(bucket));
-    return bucket.isClosed(nowMs) ? this.refuse(id, this.over(bucket, quota!, cost)) : undefined;
+    return bucket.isBackingOff(nowMs) ? this.refuse(id, this.over(bucket, quota!, cost)) : undefined;
   }
 
   /** Asks the holder for what is missing. */
@@ -61,16 +61,16 @@
     const said = await draw({ entry, customer: id, missing: cost - own, cost });
     const bucket = this.filled(id, quota!);
     if (said && said.type !== 'not-holder') this.heardAt(sentAtMs);
-    bucket.give(own + (said?.type === 'granted' ? said.granted : 0));
+    bucket.deposit(own + (said?.type === 'granted' ? said.granted : 0));
     if (bucket.take(cost)) return PAID;
     if (said?.type !== 'empty') return this.refuse(id, this.unknown(bucket));
-    bucket.refused(said.retryAfterMs, quotaLimits.closedMs, clock.nowMs());
+    bucket.onRefused(said.retryAfterMs, quotaLimits.refusalBackoffMs, clock.nowMs());
     return this.refuse(id, this.over(bucket, quota!, 0));
   }
 
   /** A run that was paid for never began. */
   giveBack(customer: CustomerId, amount: number): void {
-    this.bucket(customer).give(amount);
+    this.bucket(customer).deposit(amount);
   }
 
   /** What the holder is told; customers that neither want nor hold anything are left out. */
@@ -91,8 +91,8 @@
     this.heardAt(sentAtMs);
     for (const { customer, granted, isEmpty, retryAfterMs } of grants) {
       const bucket = this.bucket(customer);
-      bucket.give(granted);
-      if (isEmpty) bucket.refused(retryAfterMs, quotaLimits.closedMs, nowMs);
+      bucket.deposit(granted);
+      if (isEmpty) bucket.onRefused(retryAfterMs, quotaLimits.refusalBackoffMs, nowMs);
     }
   }
 
@@ -112,13 +112,13 @@
   }
 
   private isAlone(nowMs: Ms): boolean {
-    return nowMs - this.answeredAtMs > quotaLimits.aloneAfterMs;
+    return nowMs - this.answeredAtMs > quotaLimits.isolatedAfterMs;
   }
 
   private filled(id: CustomerId, quota: Quota): LocalBucket {
     const bucket = this.bucket(id);
     const { terms, clock, parts } = this.options;
-    const { aloneAfterMs, aloneForMs } = quotaLimits;
+    const { isolatedAfterMs: aloneAfterMs, isolatedForMs: aloneForMs } = quotaLimits;
     const alone = {
       fromMs: this.answeredAtMs + aloneAfterMs,
       untilMs: this.answeredAtMs + aloneForMs,
--- a/src/direct/route/fleet.ts
+++ b/src/direct/route/fleet.ts
@@ -1,7 +1,7 @@
 import type { Ms, ServiceId, UpstreamId } from '../../base/index.js';
-import { freshLimit, limitRules, mostFill, onGap } from '../../core/enginelimit/index.js';
-import { expectedMs, learnService, mayJoin } from '../../core/plainwait/index.js';
-import { calmTime, isReading, paceRules } from '../../core/promptpace/index.js';
+import { initialLimit, engineLimitRules, maxFill, onGap } from '../../core/enginelimit/index.js';
+import { expectedAnswerMs, learnService, mayJoin } from '../../core/plainwait/index.js';
+import { calmTime, isPrefilling, promptPaceRules } from '../../core/promptpace/index.js';
 import { rateRules } from '../../core/sharedrate/index.js';
 import type { Upstream } from '../../core/upstreams/index.js';
 import type { Block } from './block.js';
@@ -96,7 +96,7 @@
       calmFirstMs: Infinity,
       gapTargetMs: Infinity,
       serviceMs: Infinity,
-      limit: freshLimit(),
+      limit: initialLimit(),
       hints: new Map(),
     };
     this.states.set(info.id, state);
@@ -292,14 +292,14 @@
     const load = this.load(state.info.id, nowMs);
     const { slots } = state.info;
     const { serviceMs } = state;
-    const takesMs = expectedMs({ load, slots, serviceMs });
+    const takesMs = expectedAnswerMs({ load, slots, serviceMs });
     return mayJoin({ heldMs, targetMs, expectedMs: takesMs, load, slots });
   }
 
   /** Whether an engine has all that it bears; the most urgent requests may still go there. */
   isFull(state: UpstreamState, isUrgent: boolean, nowMs: Ms): boolean {
-    const share = isUrgent ? limitRules.urgentShare : 1;
-    return this.fill(state, nowMs) > mostFill(state.limit, nowMs) * share;
+    const share = isUrgent ? engineLimitRules.urgentFactor : 1;
+    return this.fill(state, nowMs) > maxFill(state.limit, nowMs) * share;
   }
 
   /** How many prompts the engines of a service read in the time of a pause that is in time, as far as is known. */
@@ -316,8 +316,8 @@
 
   /** Whether an engine is reading prompts now, as far as this entry sees. */
   isReading(state: UpstreamState, gapTargetMs: Ms, nowMs: Ms): boolean {
-    if (this.awakeSinceMs <= state.eventAtMs) return isReading(state, gapTargetMs, nowMs);
-    return isReading({ ...state, eventAtMs: this.awakeSinceMs }, gapTargetMs, nowMs);
+    if (this.awakeSinceMs <= state.eventAtMs) return isPrefilling(state, gapTargetMs, nowMs);
+    return isPrefilling({ ...state, eventAtMs: this.awakeSinceMs }, gapTargetMs, nowMs);
   }
 
   /** Part of an upstream's slots that is taken; above 1 requests wait there. */
@@ -341,7 +341,7 @@
     const isBusy = this.isReading(state, state.gapTargetMs, nowMs);
     return (
       full +
-      (isBusy ? paceRules.readingCost : 0) +
+      (isBusy ? promptPaceRules.prefillCost : 0) +
       load +
       zone +
       state.failureShare * FAILURE_COST +
--- a/src/direct/run/run.ts
+++ b/src/direct/run/run.ts
@@ -1,11 +1,11 @@
 import type { Clock, Ms, UpstreamId } from '../../base/index.js';
-import { comeBackMs } from '../../core/comeback/index.js';
+import { spreadRetryAfterMs } from '../../core/retryafter/index.js';
 import { nextStep, type AttemptEnd, type Progress } from '../../core/delivery/index.js';
 import { hash32 } from '../../core/hash/index.js';
-import { plainRules } from '../../core/plainwait/index.js';
-import { paceRules } from '../../core/promptpace/index.js';
+import { plainWaitRules } from '../../core/plainwait/index.js';
+import { promptPaceRules } from '../../core/promptpace/index.js';
 import { rateRules } from '../../core/sharedrate/index.js';
-import { pickService, urgencyOf, type Route } from '../../core/routetable/index.js';
+import { pickService, requestUrgency, type Route } from '../../core/routetable/index.js';
 import type { Log, UpstreamLink } from '../../port/index.js';
 import type { Caller } from '../caller.js';
 import { quotaRefusal, type Admitted } from '../intake/index.js';
@@ -113,8 +113,8 @@
     return this.admitted.caller;
   }
 
-  private get urgency(): ReturnType<typeof urgencyOf> {
-    return urgencyOf(this.route, this.admitted.customer, this.serving.table?.access);
+  private get urgency(): ReturnType<typeof requestUrgency> {
+    return requestUrgency(this.route, this.admitted.customer, this.serving.table?.access);
   }
 
   private get clock(): Clock {
@@ -286,11 +286,11 @@
     const { arrivedAtMs } = this.caller.request;
     const heldMs = this.clock.nowMs() - arrivedAtMs;
     const wholeMs = this.untilMs - arrivedAtMs;
-    if (heldMs < wholeMs * plainRules.lateWaitShare) {
-      this.clock.after(plainRules.lookMs, () => this.attempt());
+    if (heldMs < wholeMs * plainWaitRules.lateWaitShare) {
+      this.clock.after(plainWaitRules.recheckMs, () => this.attempt());
       return;
     }
-    const retryAfterMs = comeBackMs(wholeMs - heldMs, this.place());
+    const retryAfterMs = spreadRetryAfterMs(wholeMs - heldMs, this.place());
     this.giveUp('upstreams-full', 'Every upstream has a line that is too long.', retryAfterMs);
   }
 
@@ -299,13 +299,13 @@
     const { kind, gapTargetMs, targetLatencyMs } = this.route;
     if (kind !== 'streaming' || this.reply.hasBegun) return false;
     const heldMs = nowMs - this.caller.request.arrivedAtMs;
-    if (heldMs >= targetLatencyMs * paceRules.holdShare) return false;
+    if (heldMs >= targetLatencyMs * promptPaceRules.holdShare) return false;
     return this.serving.fleet.isReading(state, gapTargetMs, nowMs);
   }
 
   private pace(): void {
-    this.record.pacedMs += paceRules.lookMs;
-    this.clock.after(paceRules.lookMs, () => this.attempt());
+    this.record.pacedMs += promptPaceRules.recheckMs;
+    this.clock.after(promptPaceRules.recheckMs, () => this.attempt());
   }
 
   /** Waits as long as the target leaves time for; then the caller is told to come back. */
@@ -344,7 +344,7 @@
     const ask = {
       asker: this.caller.request.id,
       rank: this.urgency.rank,
-      waitMs: Math.max(0, waitMs - rateRules.useMs),
+      waitMs: Math.max(0, waitMs - rateRules.minUsableMs),
     };
     serving.fleet.waitFor(need, ask, nowMs);
     this.record.blockedMs += LOOK_FOR_ROOM_MS;
@@ -391,7 +391,7 @@
   /** A full upstream has room again when some of its requests have ended: longer for long streams. */
   private comeBackMs(): Ms {
     if (this.need?.model !== undefined) {
-      return comeBackMs(this.untilMs - this.clock.nowMs(), this.place());
+      return spreadRetryAfterMs(this.untilMs - this.clock.nowMs(), this.place());
     }
     return Math.max(COME_BACK_MS, Math.min(MOST_COME_BACK_MS, this.route.targetLatencyMs));
   }
--- a/src/direct/selfreport/slotbook.ts
+++ b/src/direct/selfreport/slotbook.ts
@@ -1,5 +1,5 @@
 import type { Clock, Ms, UpstreamId } from '../../base/index.js';
-import { rateRules, settledAtMs, slotGapMs } from '../../core/sharedrate/index.js';
+import { rateRules, firstSlotAtMs, slotIntervalMs } from '../../core/sharedrate/index.js';
 import type { SlotAnswer } from './slotanswer.js';
 import { SlotLine } from './slotline.js';
 import type { SlotQuestion } from './slotquestion.js';
@@ -44,7 +44,7 @@
     pace.sentBefore.set(entry, news.sentBefore ?? 0);
     let sentCount = 0;
     for (const count of pace.sentBefore.values()) sentCount += count;
-    pace.line.notBefore(settledAtMs(ratePerS, sentCount, pace.heardAtMs));
+    pace.line.notBefore(firstSlotAtMs(ratePerS, sentCount, pace.heardAtMs));
   }
 
   /** An upstream takes whatever comes again, or is asked less of from now on. */
@@ -62,7 +62,7 @@
     const known = this.paces.get(upstream);
     if (known?.startedAtMs === startedAtMs && known) return known;
     const heardAtMs = this.options.clock.nowMs();
-    const lastBeforeMs = this.tookAtMs + rateRules.validMs + slotGapMs(ratePerS);
+    const lastBeforeMs = this.tookAtMs + rateRules.validMs + slotIntervalMs(ratePerS);
     const line = new SlotLine(this.options, ratePerS, Math.max(heardAtMs, lastBeforeMs));
     const pace = { startedAtMs, heardAtMs, line, sentBefore: new Map<string, number>() };
     this.paces.set(upstream, pace);
--- a/src/direct/selfreport/slotdesk.ts
+++ b/src/direct/selfreport/slotdesk.ts
@@ -59,7 +59,7 @@
 
   /** A request would be sent to one of them if it might: asks for a slot, once at a time for each request. */
   want(upstreams: readonly UpstreamId[], ask: SlotAsk, nowMs: Ms): void {
-    if (this.askers.has(nameOf(ask)) || this.askers.size >= rateRules.mostAsked) return;
+    if (this.askers.has(nameOf(ask)) || this.askers.size >= rateRules.maxOutstanding) return;
     let best: Held | undefined;
     let bestId: UpstreamId | undefined;
     // Entries with one request each begin at different upstreams.
@@ -91,14 +91,14 @@
       held.slots.push({ atMs: nowMs, asker: ask.asker });
       return;
     }
-    const pauseMs = said?.type === 'later' ? said.inMs : rateRules.leastPauseMs;
+    const pauseMs = said?.type === 'later' ? said.inMs : rateRules.minBackoffMs;
     mark.closedUntilMs = nowMs + pauseMs;
   }
 
   /** A slot is kept a little for the request that waited for it: else one that has just come would go before it. */
   private slotFor({ slots }: Held, nowMs: Ms, asker: string | undefined): Slot | undefined {
     const own = slots.find((slot) => slot.asker !== undefined && slot.asker === asker);
-    const isFree = (slot: Slot) => slot.asker === undefined || nowMs > slot.atMs + rateRules.useMs;
+    const isFree = (slot: Slot) => slot.asker === undefined || nowMs > slot.atMs + rateRules.minUsableMs;
     return own ?? slots.find(isFree);
   }
 
--- a/src/direct/selfreport/slotline.ts
+++ b/src/direct/selfreport/slotline.ts
@@ -1,5 +1,5 @@
 import type { Clock, Ms } from '../../base/index.js';
-import { rateRules, slotGapMs } from '../../core/sharedrate/index.js';
+import { rateRules, slotIntervalMs } from '../../core/sharedrate/index.js';
 import type { SlotAnswer } from './slotanswer.js';
 
 /** A question that waits for its slot. */
@@ -44,7 +44,7 @@
     return new Promise((resolve) => {
       this.waiters.push({ rank, untilMs, answer: resolve });
       this.serve();
-      if (this.waiters.length > rateRules.mostInLine) this.waiters.pop()!.answer(this.later());
+      if (this.waiters.length > rateRules.maxQueued) this.waiters.pop()!.answer(this.later());
     });
   }
 
@@ -66,8 +66,8 @@
     while (nowMs >= this.nextAtMs && this.waiters.length > 0) {
       this.takeFirst().answer({ type: 'granted' });
       // A timer that is late must not cost slots; a time in which nobody asked does.
-      const dueAtMs = Math.max(this.nextAtMs, nowMs - rateRules.lateMs);
-      this.nextAtMs = dueAtMs + slotGapMs(this.perS) / share;
+      const dueAtMs = Math.max(this.nextAtMs, nowMs - rateRules.maxLatenessMs);
+      this.nextAtMs = dueAtMs + slotIntervalMs(this.perS) / share;
     }
     this.look(nowMs);
   }
@@ -98,9 +98,9 @@
 
   /** Those who asked in vain come again when the line before them may have been served. */
   private later(): SlotAnswer {
-    const { leastPauseMs, mostPauseMs } = rateRules;
+    const { minBackoffMs: leastPauseMs, maxBackoffMs: mostPauseMs } = rateRules;
     const freeInMs = this.nextAtMs - this.options.clock.nowMs();
-    const lineMs = this.waiters.length * slotGapMs(this.perS);
+    const lineMs = this.waiters.length * slotIntervalMs(this.perS);
     const pauseMs = Math.min(mostPauseMs, Math.max(leastPauseMs, freeInMs + lineMs));
     return { type: 'later', inMs: Math.round(pauseMs) };
   }
--- a/src/direct/serving.ts
+++ b/src/direct/serving.ts
@@ -2,7 +2,7 @@
 import type { ResidencyWait } from '../core/residencywait/index.js';
 import type { RetryBudget } from '../core/retrybudget/index.js';
 import type { CustomerSpec } from '../core/access/index.js';
-import type { Judgement, Route, RouteTable } from '../core/routetable/index.js';
+import type { AccessDecision, Route, RouteTable } from '../core/routetable/index.js';
 import type { Log, UpstreamLink } from '../port/index.js';
 import type { Caller } from './caller.js';
 import type { PoisonDesk } from './poison/index.js';
@@ -33,7 +33,7 @@
   /** False late in a planned stop: requests not yet sent to an upstream are refused. */
   readonly mayWait: boolean;
   /** Judges a request by the configuration in force; undefined while there is none. */
-  judge(request: Caller['request']): Judgement | undefined;
+  judge(request: Caller['request']): AccessDecision | undefined;
   /** Counts a request that was refused before it was run. */
   refused(reason: string, customer: CustomerSpec | undefined): void;
   budgetOf(service: ServiceId): RetryBudget;
--- a/src/entry/routing/servicerouting.ts
+++ b/src/entry/routing/servicerouting.ts
@@ -155,7 +155,7 @@
 
   private async rescue(effect: Extract<RoutingEffect, { type: 'rescue' }>): Promise<void> {
     const { target, upstream } = effect;
-    const sharedBeforeMs = this.clock.nowMs() - routingLimits.shareMs;
+    const sharedBeforeMs = this.clock.nowMs() - routingLimits.minResidencyMs;
     const before = effect.sharing ? sharedBeforeMs : undefined;
     const reply = await this.askRescue(effect, heldElsewhere(this.routing, upstream, before));
     this.step({ type: 'rescued', target, upstream, reply });
--- a/src/entry/run.ts
+++ b/src/entry/run.ts
@@ -1,6 +1,6 @@
 import { result, type Ms } from '../base/index.js';
 import {
-  conclude,
+  finalRefusal,
   startAttempt,
   stepAttempt,
   type AttemptEffect,
@@ -281,7 +281,7 @@
 
   private fail(refusals: readonly Refusal[]): void {
     const bound = this.work.binding.type === 'bound';
-    const refusal = bound ? this.desk.tickets.conclude(refusals) : conclude(refusals);
+    const refusal = bound ? this.desk.tickets.conclude(refusals) : finalRefusal(refusals);
     this.answer.fail(refusal);
     this.close(refusal.type);
   }
--- a/src/sidecar/admission/queueadmission.ts
+++ b/src/sidecar/admission/queueadmission.ts
@@ -3,7 +3,7 @@
 import {
   admission,
   startAdmission,
-  tellLoad,
+  reportLoad,
   type AdmissionEffect,
   type AdmissionEvent,
   type AdmissionPolicy,
@@ -109,7 +109,7 @@
   }
 
   load(): UpstreamLoad {
-    return tellLoad(this.state);
+    return reportLoad(this.state);
   }
 
   private offerOf(key: string, head: RequestHead, resumed: boolean) {
--- a/test/access.test.ts
+++ b/test/access.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import { decodeTable } from '../platform/decodetable.js';
 import type { CustomerId, KeyHash } from '../src/base/index.js';
-import { judge, urgencyOf, type RouteTable } from '../src/core/routetable/index.js';
+import { decideAccess, requestUrgency, type RouteTable } from '../src/core/routetable/index.js';
 import { bearerHash, hashKey } from '../src/shell/hash/index.js';
 import { configurationOf } from '../standin/platform/index.js';
 
@@ -18,7 +18,7 @@
 
 function judged(table: RouteTable, path: string, key?: string): string {
   const keyHash = bearerHash(key && `Bearer ${key}`);
-  const said = judge(table, { host: HOST, path, keyHash });
+  const said = decideAccess(table, { host: HOST, path, keyHash });
   return said.type === 'allowed' ? (said.customer?.id ?? 'anyone') : said.type;
 }
 
@@ -105,16 +105,16 @@
   const usual = { ...lookup!, priority: 1 };
   const of = (name: string) => access!.customers.get(name as CustomerId);
   const ranks = [
-    urgencyOf(urgent, of('first'), access),
-    urgencyOf(usual, of('same'), access),
-    urgencyOf(urgent, of('last'), access),
-    urgencyOf(usual, of('last'), access),
+    requestUrgency(urgent, of('first'), access),
+    requestUrgency(usual, of('same'), access),
+    requestUrgency(urgent, of('last'), access),
+    requestUrgency(usual, of('last'), access),
   ].map(({ rank }) => rank);
   t.deepEqual(ranks, [2, 3, 4, 5]);
-  t.true(urgencyOf(urgent, of('same'), access).isFirst);
-  t.false(urgencyOf(usual, of('same'), access).isFirst);
-  t.false(urgencyOf(urgent, of('last'), access).isFirst);
+  t.true(requestUrgency(urgent, of('same'), access).isFirst);
+  t.false(requestUrgency(usual, of('same'), access).isFirst);
+  t.false(requestUrgency(urgent, of('last'), access).isFirst);
   // Without customers it is the route's alone.
-  t.deepEqual(urgencyOf(urgent, undefined, undefined), { rank: 1, isFirst: true });
-  t.deepEqual(urgencyOf(usual, undefined, undefined), { rank: 3, isFirst: false });
+  t.deepEqual(requestUrgency(urgent, undefined, undefined), { rank: 1, isFirst: true });
+  t.deepEqual(requestUrgency(usual, undefined, undefined), { rank: 3, isFirst: false });
 });
--- a/test/admission.test.ts
+++ b/test/admission.test.ts
@@ -58,7 +58,7 @@
 
 const at = (atMs: number, event: AdmissionEvent): Happening<AdmissionEvent> => ({ atMs, event });
 
-test('overload: what cannot be in time is refused at once, with a time to come back', (t) => {
+test('under overload, requests that cannot meet their deadline are refused at once with a retry-after time', (t) => {
   const happenings = [
     at(0, offer('a', 'notice')),
     at(0, offer('b', 'notice')),
@@ -71,7 +71,7 @@
   session(t, 'admission-overload', admission, startAdmission(POLICY), happenings);
 });
 
-test('a customer that offers most waits behind the share of the others', (t) => {
+test('requests of a customer that exceeds its share wait behind requests within the shares of others', (t) => {
   const many = Array.from({ length: 10 }, (_, index) =>
     at(index, offer(`council-${index}`, 'notice', { remainingMs: 60_000 })),
   );
@@ -84,7 +84,7 @@
   session(t, 'admission-dominating-customer', admission, startAdmission(POLICY), happenings);
 });
 
-test('long jobs make room for urgent work and are taken up again', (t) => {
+test('long jobs are preempted for urgent requests and resumed afterwards', (t) => {
   const policy = { ...POLICY, slots: 3, longJobs: 2 };
   const urgent = ['u1', 'u2', 'u3', 'u4'].map((requestId) =>
     at(1000, offer(requestId, 'classify', { remainingMs: 300 })),
@@ -112,35 +112,38 @@
   session(t, 'admission-long-jobs', admission, startAdmission(policy), happenings);
 });
 
-/** Offers much, then lets the pace follow from how many run, by the stand-in's curve times a factor. */
-function slowSession(policy: AdmissionPolicy): Happening<AdmissionEvent>[] {
+/**
+ * Fills the queue, then reports the time between tokens of a simulated engine: the stand-in's curve for the number of
+ * running requests, three times slower from the eleventh second on.
+ */
+function slowEngineEvents(policy: AdmissionPolicy): Happening<AdmissionEvent>[] {
   const state = startAdmission(policy);
   const happenings: Happening<AdmissionEvent>[] = [];
-  const tell = (atMs: number, event: AdmissionEvent) => {
+  const send = (atMs: number, event: AdmissionEvent) => {
     happenings.push(at(atMs, event));
     admission(state, event, atMs);
   };
   for (let index = 0; index < 60; index += 1) {
-    tell(index, offer(`r${index}`, 'notice', { remainingMs: 600_000 }));
+    send(index, offer(`r${index}`, 'notice', { remainingMs: 600_000 }));
   }
   for (let second = 1; second <= 30; second += 1) {
     const factor = second <= 10 ? 1 : 3;
     const gapMs = factor * stepMs(defaultCurve, state.running.size);
-    tell(1000 * second, { type: 'paced', gapMs, tokenCount: 100 });
+    send(1000 * second, { type: 'paced', gapMs, tokenCount: 100 });
     const [first = ''] = state.running.keys();
-    tell(1000 * second + 500, released(first, 100));
+    send(1000 * second + 500, released(first, 100));
   }
   return happenings;
 }
 
-test('an engine that slows down gets fewer requests at once', (t) => {
+test('the concurrency limit of an engine that slows down is reduced', (t) => {
   const policy = { ...POLICY, slots: 8, queueLimit: 100 };
-  const happenings = slowSession(policy);
+  const happenings = slowEngineEvents(policy);
   const state = session(t, 'admission-slow-engine', admission, startAdmission(policy), happenings);
   t.true(3 * stepMs(defaultCurve, state.running.size) <= 1.1 * policy.paceGoalMs);
 });
 
-test('a caller who goes while waiting costs nothing more', (t) => {
+test('an abandoned request leaves the queue and is never started', (t) => {
   const happenings = [
     at(0, offer('a', 'notice')),
     at(0, offer('b', 'notice')),
@@ -153,7 +156,7 @@
   session(t, 'admission-caller-gone', admission, startAdmission(POLICY), happenings);
 });
 
-test('a change of the document holds for what waits', (t) => {
+test('a new configuration applies to requests that are already queued', (t) => {
   const happenings = [
     at(0, offer('a', 'notice')),
     at(0, offer('b', 'notice')),
@@ -166,7 +169,7 @@
   session(t, 'admission-document-change', admission, startAdmission(POLICY), happenings);
 });
 
-test('requests for a model that is being loaded wait for it within their deadline', (t) => {
+test('requests for a model that is being loaded wait for it if their deadline allows', (t) => {
   const model = 'notice-2';
   const happenings = [
     at(0, { type: 'model', model, phase: 'loading', readyInMs: 2000 } as const),
--- a/test/admissionproperties.test.ts
+++ b/test/admissionproperties.test.ts
@@ -47,7 +47,7 @@
   readonly phase: 'ready' | 'loading' | 'absent';
 }
 
-/** More is offered than ends, so that the queue fills. */
+/** Offers are more frequent than releases, so that the queue fills. */
 const TYPES: readonly Action['type'][] = [
   ...new Array<Action['type']>(6).fill('offer'),
   'release',
@@ -68,7 +68,7 @@
   { maxLength: 120 },
 );
 
-/** Drives the core as its shell does, and remembers how each request ended. */
+/** Drives the admission core as the sidecar does, and records how each request ended. */
 class Driver {
   readonly state = startAdmission(POLICY);
 
@@ -80,8 +80,8 @@
 
   private readonly offers = new Map<string, AdmissionEvent>();
 
-  /** Requests that began to run once: these may not be refused but for their model. */
-  private readonly madeRoom = new Set<string>();
+  /** Preempted requests: they have run, so they may be refused only because their model is absent. */
+  private readonly preempted = new Set<string>();
 
   private nowMs = 0;
 
@@ -89,25 +89,25 @@
 
   act({ type, pick, kind, customer, phase }: Action): void {
     this.nowMs += pick % 40;
-    const choose = (from: Set<string>) => [...from][pick % Math.max(1, from.size)];
-    const acts = {
+    const pickFrom = (from: Set<string>) => [...from][pick % Math.max(1, from.size)];
+    const handlers = {
       offer: () => this.offer(kind, customer, pick % 2 === 0 ? 'm1' : 'm2'),
-      release: () => this.release(choose(this.running), 'answered'),
-      abandon: () => this.abandon(choose(this.waiting)),
+      release: () => this.release(pickFrom(this.running), 'answered'),
+      abandon: () => this.abandon(pickFrom(this.waiting)),
       wait: () => this.wait(pick),
-      model: () => this.tell({ type: 'model', model: 'm2', phase, readyInMs: pick }),
+      model: () => this.send({ type: 'model', model: 'm2', phase, readyInMs: pick }),
     };
-    acts[type]();
+    handlers[type]();
   }
 
   drain(): void {
-    this.tell({ type: 'model', model: 'm2', phase: 'ready', readyInMs: 0 });
+    this.send({ type: 'model', model: 'm2', phase: 'ready', readyInMs: 0 });
     while (this.running.size > 0) this.release([...this.running][0], 'answered');
   }
 
   private wait(ms: number): void {
     this.nowMs += ms;
-    if (this.nowMs >= this.state.wakeAtMs) this.tell({ type: 'ticked' });
+    if (this.nowMs >= this.state.wakeAtMs) this.send({ type: 'ticked' });
   }
 
   private offer(kind: Kind, customer: string, model: string): void {
@@ -118,31 +118,31 @@
     this.offers.set(requestId, { type: 'offered', offer });
     this.ends.set(requestId, []);
     this.waiting.add(requestId);
-    this.tell({ type: 'offered', offer });
+    this.send({ type: 'offered', offer });
   }
 
   private abandon(requestId: string | undefined): void {
     if (!requestId) return;
     this.waiting.delete(requestId);
     this.ends.get(requestId)?.push('abandoned');
-    this.tell({ type: 'abandoned', requestId });
+    this.send({ type: 'abandoned', requestId });
   }
 
   private release(requestId: string | undefined, outcome: 'answered' | 'preempted'): void {
     if (!requestId) return;
     this.running.delete(requestId);
     if (outcome === 'answered') this.ends.get(requestId)?.push('answered');
-    this.tell({ type: 'released', requestId, outcome, tokenCount: 5 });
+    this.send({ type: 'released', requestId, outcome, tokenCount: 5 });
   }
 
-  private tell(event: AdmissionEvent): void {
+  private send(event: AdmissionEvent): void {
     for (const effect of admission(this.state, event, this.nowMs).effects) this.apply(effect);
   }
 
   private refused(requestId: string, failure: string): void {
     const ends = this.ends.get(requestId);
     ends?.push('refused');
-    if (this.madeRoom.has(requestId) && failure !== 'model-absent') ends?.push('begun');
+    if (this.preempted.has(requestId) && failure !== 'model-absent') ends?.push('begun');
   }
 
   private apply(effect: AdmissionEffect): void {
@@ -153,8 +153,8 @@
       const event = this.offers.get(requestId);
       if (event?.type !== 'offered') return;
       this.waiting.add(requestId);
-      this.madeRoom.add(requestId);
-      this.tell({ type: 'offered', offer: { ...event.offer, resumed: true, remainingMs: 0 } });
+      this.preempted.add(requestId);
+      this.send({ type: 'offered', offer: { ...event.offer, resumed: true, remainingMs: 0 } });
       return;
     }
     if (!this.waiting.delete(requestId)) this.ends.get(requestId)?.push(`stray ${effect.type}`);
@@ -163,15 +163,15 @@
   }
 }
 
-function check(name: string, holds: (driver: Driver) => boolean, atEnd: boolean): void {
+function check(name: string, holds: (driver: Driver) => boolean, onlyAtEnd: boolean): void {
   test(name, (t) => {
     const property = fc.property(ACTIONS, (actions) => {
       const driver = new Driver();
       for (const action of actions) {
         driver.act(action);
-        if (!atEnd && !holds(driver)) return false;
+        if (!onlyAtEnd && !holds(driver)) return false;
       }
-      if (atEnd) driver.drain();
+      if (onlyAtEnd) driver.drain();
       return holds(driver);
     });
     t.notThrows(() => fc.assert(property, { seed: SEED, numRuns: RUNS }));
@@ -179,7 +179,7 @@
 }
 
 check(
-  'never more run than the limit, nor more long jobs than allowed',
+  'no more requests run than the limit allows, and no more long jobs than configured',
   ({ state, running }) =>
     running.size === state.running.size &&
     running.size <= URGENT_LIMIT &&
@@ -188,7 +188,7 @@
 );
 
 check(
-  'no place stays free while a request that may have it waits',
+  'no slot stays free while a short request is queued',
   ({ state }) => {
     const shortWaiting = state.lanes.some(
       (lane, index) => !LANES[index]!.longJobs && lane.count > 0,
@@ -199,7 +199,7 @@
 );
 
 check(
-  'what waits is what was neither started nor ended',
+  'the queue holds exactly the requests that were neither started nor ended',
   ({ state, waiting }) =>
     waiting.size === state.waiting.size && [...waiting].every((id) => state.waiting.has(id)),
   false,
@@ -211,7 +211,7 @@
   true,
 );
 
-test('customers who all have work waiting get places by their shares', (t) => {
+test('customers that all have requests queued are served in proportion to their shares', (t) => {
   const policy = { ...POLICY, slots: 1, queueLimit: 1000 };
   const state = startAdmission(policy);
   const offers = ['x', 'y', 'z'].flatMap((customer) =>
@@ -223,11 +223,11 @@
     admission(state, { type: 'offered', offer }, 0);
   }
   const served = { x: 0, y: 0, z: 0 };
-  for (let turn = 1; turn <= 120; turn += 1) {
+  for (let round = 1; round <= 120; round += 1) {
     const [requestId = ''] = state.running.keys();
     served[requestId[0] as 'x' | 'y' | 'z'] += 1;
     const event = { type: 'released', requestId, outcome: 'answered', tokenCount: 20 } as const;
-    admission(state, event, turn * 1000);
+    admission(state, event, round * 1000);
   }
   t.true(Math.abs(served.x - 20) <= 3, `x ${served.x}`);
   t.true(Math.abs(served.y - 40) <= 4, `y ${served.y}`);
--- a/test/attempt.test.ts
+++ b/test/attempt.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import type { UpstreamId } from '../src/base/index.js';
 import {
-  conclude,
+  finalRefusal,
   startAttempt,
   stepAttempt,
   type AttemptEvent,
@@ -24,12 +24,16 @@
   return { type: 'chosen', upstream: name as UpstreamId };
 }
 
-function play(t: Parameters<typeof session>[0], name: string, events: readonly AttemptEvent[]) {
+function runSession(
+  t: Parameters<typeof session>[0],
+  name: string,
+  events: readonly AttemptEvent[],
+) {
   const happenings = events.map((event, index) => ({ atMs: index * 10, event }));
   return (start: AttemptState) => session(t, name, stepAttempt, start, happenings);
 }
 
-test('golden: a refused request goes elsewhere, and its answer is whole', (t) => {
+test('golden: a refused request is sent to another upstream and answered there', (t) => {
   const events: AttemptEvent[] = [
     chosen('a'),
     { type: 'refused', refusal: full },
@@ -38,10 +42,10 @@
     { type: 'passed' },
     { type: 'whole' },
   ];
-  t.is(play(t, 'attempt-refused', events)(begin()).phase, 'done');
+  t.is(runSession(t, 'attempt-refused', events)(begin()).phase, 'done');
 });
 
-test('golden: a broken stream is continued, and a second break with nothing held ends it', (t) => {
+test('golden: an interrupted stream is continued elsewhere, but fails if the next one is not continuable', (t) => {
   const events: AttemptEvent[] = [
     chosen('a'),
     { type: 'started' },
@@ -53,20 +57,20 @@
     { type: 'started' },
     { type: 'broken', refusal: cut, continuable: false },
   ];
-  t.is(play(t, 'attempt-continue', events)(begin()).phase, 'failed');
+  t.is(runSession(t, 'attempt-continue', events)(begin()).phase, 'failed');
 });
 
-test('golden: what may not be repeated is not sent again once it may have run', (t) => {
+test('golden: a non-repeatable request is not sent again once it may have run', (t) => {
   const events: AttemptEvent[] = [
     chosen('a'),
     { type: 'refused', refusal: full },
     chosen('b'),
     { type: 'broken', refusal: cut, continuable: false },
   ];
-  t.is(play(t, 'attempt-once', events)(begin({ repeatable: false })).phase, 'failed');
+  t.is(runSession(t, 'attempt-once', events)(begin({ repeatable: false })).phase, 'failed');
 });
 
-test('golden: a bound request is asked for again where it is bound, and only on silence', (t) => {
+test('golden: a request bound by a ticket is retried at its upstream, and only if there was no answer', (t) => {
   const events: AttemptEvent[] = [
     chosen('a'),
     { type: 'broken', refusal: cut, continuable: false },
@@ -74,10 +78,10 @@
     { type: 'refused', refusal: full },
   ];
   const start = begin({ repeatable: false, bound: true });
-  t.is(play(t, 'attempt-bound', events)(start).phase, 'failed');
+  t.is(runSession(t, 'attempt-bound', events)(start).phase, 'failed');
 });
 
-test('golden: with nobody else left, one that failed it is asked again, once', (t) => {
+test('golden: if no other upstream is left, one that failed the request is tried once more', (t) => {
   const none = refuse('no-upstream', 'None left.');
   const events: AttemptEvent[] = [
     chosen('a'),
@@ -87,19 +91,19 @@
     { type: 'broken', refusal: cut, continuable: false },
     { type: 'unchosen', refusal: none },
   ];
-  t.is(play(t, 'attempt-again', events)(begin()).phase, 'failed');
+  t.is(runSession(t, 'attempt-again', events)(begin()).phase, 'failed');
 });
 
-test('golden: one that refused it is not asked again', (t) => {
+test('golden: an upstream that refused the request is not tried again', (t) => {
   const events: AttemptEvent[] = [
     chosen('a'),
     { type: 'refused', refusal: full },
     { type: 'unchosen', refusal: refuse('no-upstream', 'None left.') },
   ];
-  t.is(play(t, 'attempt-refused-last', events)(begin()).phase, 'failed');
+  t.is(runSession(t, 'attempt-refused-last', events)(begin()).phase, 'failed');
 });
 
-test('golden: a caller that leaves cancels, and what comes later changes nothing', (t) => {
+test('golden: when the caller disconnects the attempt is cancelled, and later events are ignored', (t) => {
   const events: AttemptEvent[] = [
     chosen('a'),
     { type: 'started' },
@@ -107,22 +111,22 @@
     { type: 'whole' },
     { type: 'refused', refusal: full },
   ];
-  t.is(play(t, 'attempt-gone', events)(begin()).phase, 'gone');
+  t.is(runSession(t, 'attempt-gone', events)(begin()).phase, 'gone');
 });
 
-test('golden: past the deadline nothing is tried again', (t) => {
+test('golden: no retry is made after the deadline', (t) => {
   const events: AttemptEvent[] = [chosen('a'), { type: 'refused', refusal: full }];
-  t.is(play(t, 'attempt-late', events)(begin({ deadlineAtMs: 5 })).phase, 'failed');
+  t.is(runSession(t, 'attempt-late', events)(begin({ deadlineAtMs: 5 })).phase, 'failed');
 });
 
-test('what was never sent has certainly not run', (t) => {
+test('a request that expires before it was sent is reported as not executed', (t) => {
   const refusal = refuse('entry-leaving', 'Leaving.', UNKNOWN);
   const { effects } = stepAttempt(begin(), { type: 'expired', refusal }, 0);
   t.like(effects[1], { type: 'fail', refusals: [{ executed: Executed.EXECUTED_NO }] });
 });
 
-test('a caller is told "no" only if no attempt can have run', (t) => {
-  t.is(conclude([full, full]).executed, Executed.EXECUTED_NO);
-  t.is(conclude([cut, full]).executed, Executed.EXECUTED_UNKNOWN);
-  t.is(conclude([cut, full]).type, 'queue-full');
+test('the final refusal says "not executed" only if no attempt can have run', (t) => {
+  t.is(finalRefusal([full, full]).executed, Executed.EXECUTED_NO);
+  t.is(finalRefusal([cut, full]).executed, Executed.EXECUTED_UNKNOWN);
+  t.is(finalRefusal([cut, full]).type, 'queue-full');
 });
--- a/test/delivery.test.ts
+++ b/test/delivery.test.ts
@@ -20,7 +20,7 @@
   fc.record({ type: fc.constant('broken' as const) }),
 );
 
-/** What has run by the time of the decision: a broken or failed attempt counts among it. */
+/** Counts a broken or failed attempt among those that may have run, as it is when the decision is made. */
 function after(now: Progress, { type }: AttemptEnd): Progress {
   return type === 'not-run' ? now : { ...now, ranCount: Math.max(1, now.ranCount) };
 }
@@ -36,7 +36,7 @@
   t.pass();
 });
 
-test('what has run is run again only if it may be, at no more upstreams than the route allows', (t) => {
+test('a request that may have run is retried only if repeatable, at no more upstreams than the route allows', (t) => {
   fc.assert(
     fc.property(progress, end, (now, last) => {
       const state = after(now, last);
@@ -50,7 +50,7 @@
   t.pass();
 });
 
-test('an answer that has begun is resumed or cut, never started anew or replaced', (t) => {
+test('an answer that has begun is resumed or aborted, never restarted or replaced', (t) => {
   fc.assert(
     fc.property(progress, end, (now, last) => {
       if (!now.hasBegun || last.type === 'failed') return;
--- a/test/enginelimit.test.ts
+++ b/test/enginelimit.test.ts
@@ -1,46 +1,46 @@
 import test from 'ava';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
-import { freshLimit, limitRules, mostFill, onGap } from '../src/core/enginelimit/index.js';
+import { initialLimit, engineLimitRules, maxFill, onGap } from '../src/core/enginelimit/index.js';
 import { BatchEngine } from './support/batchengine.js';
 
 const TARGET_MS = 300;
 const FIRST_MS = 800;
-const DAY_MS = 20_000;
+const RUN_MS = 20_000;
 
-test('a limit is cut by a gap near the target, once for a burst, and rises again', (t) => {
-  const first = onGap(freshLimit(), { gapMs: 250, targetMs: TARGET_MS, fill: 1 }, 1000);
-  t.is(first.fill, limitRules.cutShare);
+test('a gap near the target cuts the limit once for a burst, after which the limit rises again', (t) => {
+  const first = onGap(initialLimit(), { gapMs: 250, targetMs: TARGET_MS, fill: 1 }, 1000);
+  t.is(first.fill, engineLimitRules.cutFactor);
   const same = onGap(first, { gapMs: 400, targetMs: TARGET_MS, fill: 1 }, 1400);
   t.is(same, first);
-  t.is(mostFill(first, 1000), limitRules.cutShare);
-  t.true(mostFill(first, 3000) > limitRules.cutShare);
-  t.is(mostFill(first, 60_000), limitRules.most);
+  t.is(maxFill(first, 1000), engineLimitRules.cutFactor);
+  t.true(maxFill(first, 3000) > engineLimitRules.cutFactor);
+  t.is(maxFill(first, 60_000), engineLimitRules.maxFill);
 });
 
-test('gaps well under the target change nothing, and no limit falls under the least', (t) => {
-  const calm = onGap(freshLimit(), { gapMs: 200, targetMs: TARGET_MS, fill: 1 }, 1000);
-  t.is(mostFill(calm, 1000), limitRules.most);
-  let state = freshLimit();
+test('short gaps do not change the limit, and it never falls below its minimum', (t) => {
+  const calm = onGap(initialLimit(), { gapMs: 200, targetMs: TARGET_MS, fill: 1 }, 1000);
+  t.is(maxFill(calm, 1000), engineLimitRules.maxFill);
+  let state = initialLimit();
   for (let nowMs = 0; nowMs < 9000; nowMs += 600) {
     state = onGap(state, { gapMs: 900, targetMs: TARGET_MS, fill: 0.2 }, nowMs);
   }
-  t.is(state.fill, limitRules.least);
+  t.is(state.fill, engineLimitRules.minFill);
 });
 
-/** What callers get of one engine that is asked for more than it can give, by a rule of admission. */
-function play(isLimited: boolean, perSecond: number, seed: number) {
+/** Simulates an engine under Poisson arrivals, with or without the limit; counts answers on time and refusals. */
+function simulate(isLimited: boolean, perSecond: number, seed: number) {
   const random = xoroshiro128plus(seed);
-  let limit = freshLimit();
+  let limit = initialLimit();
   const engine: BatchEngine = new BatchEngine((_, gapMs) => {
     limit = onGap(limit, { gapMs, targetMs: TARGET_MS, fill: engine.fill }, engine.nowMs);
   });
   let refused = 0;
   let nextAtMs = 0;
-  while (engine.nowMs < DAY_MS) {
+  while (engine.nowMs < RUN_MS) {
     while (nextAtMs < engine.nowMs) {
       nextAtMs += (-Math.log(1 - uniformFloat64(random)) * 1000) / perSecond;
-      if (isLimited && engine.fill > mostFill(limit, engine.nowMs)) refused += 1;
+      if (isLimited && engine.fill > maxFill(limit, engine.nowMs)) refused += 1;
       else engine.take(1110, 171);
     }
     engine.step();
@@ -52,22 +52,22 @@
   return { inTime, refused };
 }
 
-test('an engine asked for more than it can give answers more in time with a limit than without', (t) => {
+test('an overloaded engine answers more requests on time with a limit than without', (t) => {
   for (const perSecond of [16, 20, 30]) {
     let limited = 0;
-    let free = 0;
+    let unlimited = 0;
     for (let seed = 1; seed <= 4; seed += 1) {
-      limited += play(true, perSecond, seed).inTime;
-      free += play(false, perSecond, seed).inTime;
+      limited += simulate(true, perSecond, seed).inTime;
+      unlimited += simulate(false, perSecond, seed).inTime;
     }
-    t.log({ perSecond, limited, free });
+    t.log({ perSecond, limited, unlimited });
     t.true(
-      limited > free * 1.5,
-      `${perSecond}/s: ${limited} in time with a limit, ${free} without`,
+      limited > unlimited * 1.5,
+      `${perSecond}/s: ${limited} in time with a limit, ${unlimited} without`,
     );
   }
 });
 
-test('an engine that bears its load refuses nobody', (t) => {
-  for (let seed = 1; seed <= 4; seed += 1) t.is(play(true, 6, seed).refused, 0);
+test('an engine that is not overloaded refuses no request', (t) => {
+  for (let seed = 1; seed <= 4; seed += 1) t.is(simulate(true, 6, seed).refused, 0);
 });
--- a/test/promptpace.test.ts
+++ b/test/promptpace.test.ts
@@ -1,20 +1,20 @@
 import test from 'ava';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
-import { calmTime, isReading, paceRules } from '../src/core/promptpace/index.js';
+import { calmTime, isPrefilling, promptPaceRules } from '../src/core/promptpace/index.js';
 import { BatchEngine } from './support/batchengine.js';
 
 const GAP_TARGET_MS = 300;
 const FIRST_MS = 800;
-const DAY_MS = 30_000;
+const RUN_MS = 30_000;
 const ENTRIES = 4;
 const PROMPT_TOKENS = 1110;
 const OUTPUT_TOKENS = 171;
 
-/** What callers get of one engine that several entries send to, each blind to the others. */
-function play(isPaced: boolean, perSecond: number, seed: number) {
+/** Simulates one engine that several entries send to without knowing of each other's requests. */
+function simulate(isPaced: boolean, perSecond: number, seed: number) {
   const random = xoroshiro128plus(seed);
-  const seen = Array.from({ length: ENTRIES }, () => ({
+  const entries = Array.from({ length: ENTRIES }, () => ({
     readingCount: 0,
     streamCount: 0,
     eventAtMs: -Infinity,
@@ -23,7 +23,7 @@
     waiting: [] as number[],
   }));
   const engine: BatchEngine = new BatchEngine((stream, gapMs) => {
-    const entry = seen[stream.entry]!;
+    const entry = entries[stream.entry]!;
     if (gapMs > 0) entry.calmGapMs = calmTime(entry.calmGapMs, gapMs);
     if (stream.firstEventAtMs === engine.nowMs && stream.longestGapMs === 0) {
       entry.readingCount -= 1;
@@ -34,16 +34,16 @@
     if (stream.tokensLeft === 0) entry.streamCount -= 1;
   });
   let nextAtMs = 0;
-  while (engine.nowMs < DAY_MS) {
+  while (engine.nowMs < RUN_MS) {
     while (nextAtMs < engine.nowMs) {
-      seen[Math.floor(uniformFloat64(random) * ENTRIES)]!.waiting.push(nextAtMs);
+      entries[Math.floor(uniformFloat64(random) * ENTRIES)]!.waiting.push(nextAtMs);
       nextAtMs += (-Math.log(1 - uniformFloat64(random)) * 1000) / perSecond;
     }
-    for (const [at, entry] of seen.entries()) {
+    for (const [at, entry] of entries.entries()) {
       while (entry.waiting.length > 0) {
         const heldMs = engine.nowMs - entry.waiting[0]!;
-        const mayWait = isPaced && heldMs < FIRST_MS * paceRules.holdShare;
-        if (mayWait && isReading(entry, GAP_TARGET_MS, engine.nowMs)) break;
+        const mayWait = isPaced && heldMs < FIRST_MS * promptPaceRules.holdShare;
+        if (mayWait && isPrefilling(entry, GAP_TARGET_MS, engine.nowMs)) break;
         engine.take(PROMPT_TOKENS, OUTPUT_TOKENS, entry.waiting.shift(), at);
         entry.readingCount += 1;
       }
@@ -57,16 +57,16 @@
   return { inTime, late: engine.ended.length - inTime };
 }
 
-test('prompts that come in bursts make fewer streams late if each entry lets one be read at a time', (t) => {
+test('bursts of prompts make fewer streams late if entries pace them', (t) => {
   for (const perSecond of [7, 8]) {
     let paced = 0;
-    let free = 0;
+    let unpaced = 0;
     for (let seed = 1; seed <= 6; seed += 1) {
-      paced += play(true, perSecond, seed).late;
-      free += play(false, perSecond, seed).late;
+      paced += simulate(true, perSecond, seed).late;
+      unpaced += simulate(false, perSecond, seed).late;
     }
-    t.log({ perSecond, paced, free });
-    t.true(paced < free * 0.7, `${perSecond}/s: ${paced} late with a pace, ${free} without`);
+    t.log({ perSecond, paced, unpaced });
+    t.true(paced < unpaced * 0.7, `${perSecond}/s: ${paced} late with a pace, ${unpaced} without`);
   }
 });
 
@@ -78,20 +78,20 @@
   calmFirstMs: 80,
 };
 
-test('an engine that nothing runs at takes the next prompt at once, and another only when that is read', (t) => {
-  t.false(isReading(IDLE, GAP_TARGET_MS, 1000));
-  t.true(isReading({ ...IDLE, readingCount: 1 }, GAP_TARGET_MS, 1000));
+test('an idle engine gets the next prompt at once, and another only after its prefill', (t) => {
+  t.false(isPrefilling(IDLE, GAP_TARGET_MS, 1000));
+  t.true(isPrefilling({ ...IDLE, readingCount: 1 }, GAP_TARGET_MS, 1000));
 });
 
-test('an engine that reads several prompts in the time of a pause takes as many at a time', (t) => {
+test('an engine with a short prefill gets several prompts at a time', (t) => {
   const fast = { ...IDLE, calmFirstMs: 25 };
-  t.false(isReading({ ...fast, readingCount: 2 }, GAP_TARGET_MS, 1000));
-  t.true(isReading({ ...fast, readingCount: 3 }, GAP_TARGET_MS, 1000));
+  t.false(isPrefilling({ ...fast, readingCount: 2 }, GAP_TARGET_MS, 1000));
+  t.true(isPrefilling({ ...fast, readingCount: 3 }, GAP_TARGET_MS, 1000));
 });
 
-test('streams that stand still tell of prompts of other entries, those with rare events do not', (t) => {
+test('stalled streams reveal prefills of other entries; streams with rare events do not', (t) => {
   const running = { ...IDLE, streamCount: 3, eventAtMs: 1000 };
-  t.false(isReading(running, GAP_TARGET_MS, 1050));
-  t.true(isReading(running, GAP_TARGET_MS, 1080));
-  t.false(isReading({ ...running, calmGapMs: 60 }, GAP_TARGET_MS, 1080));
+  t.false(isPrefilling(running, GAP_TARGET_MS, 1050));
+  t.true(isPrefilling(running, GAP_TARGET_MS, 1080));
+  t.false(isPrefilling({ ...running, calmGapMs: 60 }, GAP_TARGET_MS, 1080));
 });
--- a/test/comeback.test.ts
+++ b/test/retryafter.test.ts
@@ -1,19 +1,19 @@
 import test from 'ava';
-import { comeBackMs } from '../src/core/comeback/index.js';
+import { spreadRetryAfterMs } from '../src/core/retryafter/index.js';
 import { holdOrRefuse } from '../src/core/residencywait/index.js';
 
 const REMAINING_MS = 15_000;
-const PLACES = Array.from({ length: 20 }, (_, at) => at / 20);
+const POSITIONS = Array.from({ length: 20 }, (_, at) => at / 20);
 
-test('callers of a full engine are spread, and none is told a time that it would not heed', (t) => {
-  const times = PLACES.map((place) => comeBackMs(REMAINING_MS, place));
-  t.is(new Set(times).size, PLACES.length);
+test('retry-after times of a full engine are spread, and none exceeds what callers accept', (t) => {
+  const times = POSITIONS.map((place) => spreadRetryAfterMs(REMAINING_MS, place));
+  t.is(new Set(times).size, POSITIONS.length);
   t.true(Math.min(...times) >= REMAINING_MS * 0.2);
   t.true(Math.max(...times) <= REMAINING_MS / 3);
-  t.is(comeBackMs(-5, 0.5), 0);
+  t.is(spreadRetryAfterMs(-5, 0.5), 0);
 });
 
-test('what nobody is bringing is refused at once; what is under way and soon there is held', (t) => {
+test('a request is held only if a load of its model is in progress and finishes soon', (t) => {
   const wait = {
     inMs: 900,
     isUnderWay: true,
@@ -28,7 +28,7 @@
   t.is(holdOrRefuse({ ...wait, heldMs: 700 }).type, 'refuse');
 });
 
-test('a caller with little time is not held for most of it', (t) => {
+test('a request is not held for most of its remaining time', (t) => {
   const wait = {
     inMs: 900,
     isUnderWay: true,
@@ -40,8 +40,8 @@
   t.is(holdOrRefuse(wait).type, 'refuse');
 });
 
-test('nobody is told to come back before the load should be there, and not all at once', (t) => {
-  const times = PLACES.map((place) => {
+test('retry-after times lie after the expected end of the load, and are spread', (t) => {
+  const times = POSITIONS.map((place) => {
     const wait = {
       inMs: 4200,
       isUnderWay: true,
--- a/test/retrybudget.test.ts
+++ b/test/retrybudget.test.ts
@@ -8,7 +8,7 @@
   return times.filter((atMs) => atMs > fromMs).length;
 }
 
-/** More by hand: PROPERTY_RUNS=100000 npx ava dist/test/retrybudget.test.js. */
+/** For a longer run: PROPERTY_RUNS=100000 npx ava dist/test/retrybudget.test.js. */
 const RUNS = Number(process.env.PROPERTY_RUNS ?? 500);
 
 const steps = fc.array(fc.record({ afterMs: fc.nat(300), isRequest: fc.boolean() }), {
@@ -17,25 +17,25 @@
 });
 type Steps = typeof steps extends fc.Arbitrary<infer Value> ? Value : never;
 
-/** Whether the repeats that a budget allows keep the bound in every window. */
+/** True if the retries that a budget allows stay within the bound in every window. */
 function holds(budget: RetryBudget, taken: Steps): boolean {
   const requests: number[] = [];
-  const repeats: number[] = [];
+  const retries: number[] = [];
   let nowMs = 0;
   for (const { afterMs, isRequest } of taken) {
     nowMs += afterMs;
     if (isRequest) {
       budget.request(nowMs);
       requests.push(nowMs);
-    } else if (budget.take(nowMs)) repeats.push(nowMs);
+    } else if (budget.take(nowMs)) retries.push(nowMs);
     const before = countAfter(requests, nowMs - 2 * LIMITS.windowMs);
-    const now = countAfter(repeats, nowMs - LIMITS.windowMs);
+    const now = countAfter(retries, nowMs - LIMITS.windowMs);
     if (now > LIMITS.ratio * before + LIMITS.slack()) return false;
   }
   return true;
 }
 
-test('in no window are there more repeats than its requests and those before it allow', (t) => {
+test('no window contains more retries than its requests and those of the window before it allow', (t) => {
   fc.assert(
     fc.property(steps, (taken) => holds(new RetryBudget(LIMITS), taken)),
     { numRuns: RUNS },
@@ -43,13 +43,13 @@
   t.pass();
 });
 
-test('the property fails for a budget that several entries believe to be theirs alone', (t) => {
+test('the property detects a budget whose slack each of several entries uses in full', (t) => {
   const whole = { ...LIMITS, slack: () => LIMITS.slack() * 5 };
   const found = fc.check(fc.property(steps, (taken) => holds(new RetryBudget(whole), taken)));
   t.true(found.failed);
 });
 
-test('a spent budget comes back with time', (t) => {
+test('a spent budget recovers after the window', (t) => {
   const budget = new RetryBudget(LIMITS);
   for (let at = 0; at < 3; at += 1) t.true(budget.take(at));
   t.false(budget.take(3));
