--- a/test/routing.test.ts
+++ b/test/routing.test.ts
@@ -15,14 +15,14 @@
 import { session, type Happening } from './support/session.js';
 
 const SEED = 7;
-const THREE = ['a@north', 'b@south', 'c@south'];
+const THREE_UPSTREAMS = ['a@north', 'b@south', 'c@south'];
 const { declared, record, want, outcome, member } = cell;
 
 function start(): RoutingState {
   return createRouting('north', SEED);
 }
 
-function play(
+function drive(
   happenings: readonly Happening<RoutingEvent>[],
   from = start(),
 ): Change<RoutingState, RoutingEffect> {
@@ -50,7 +50,7 @@
 
 const ready = at(
   0,
-  declared(THREE, ['notice', 'letter']),
+  declared(THREE_UPSTREAMS, ['notice', 'letter']),
   record('a', ['notice']),
   record('b', ['notice']),
   record('c', ['letter']),
@@ -59,7 +59,7 @@
   member('c', 'ready'),
 );
 
-test('golden: a zone is lost, and the model that only lived there is loaded elsewhere', (t) => {
+test('golden: if the only upstream with a model is unreachable, the model is loaded elsewhere', (t) => {
   const end = session(t, 'routing-zone-lost', stepRouting, start(), [
     ...ready,
     ...at(10_000, want('r1', 'letter')),
@@ -78,10 +78,16 @@
   t.is(end.rescues.size, 0);
 });
 
-test('golden: many requests for one cold model cause one load and are released together', (t) => {
+test('golden: many requests for one cold model cause one load and are sent together', (t) => {
   const wants = ['r1', 'r2', 'r3', 'r4', 'r5'].map((id) => want(id, 'cold'));
   const happenings = [
-    ...at(0, declared(THREE, ['cold']), record('a', []), record('b', []), record('c', [])),
+    ...at(
+      0,
+      declared(THREE_UPSTREAMS, ['cold']),
+      record('a', []),
+      record('b', []),
+      record('c', []),
+    ),
     ...at(1_000, ...wants),
     ...at(1_100, {
       type: 'rescued' as const,
@@ -94,12 +100,12 @@
     ...at(3_400, record('c', ['cold'])),
   ];
   session(t, 'routing-cold-model', stepRouting, start(), happenings);
-  const { effects } = play(happenings);
+  const { effects } = drive(happenings);
   t.is(effects.filter(({ type }) => type === 'rescue').length, 1);
   t.deepEqual(chosen(effects), ['c', 'c', 'c', 'c', 'c']);
 });
 
-test('golden: load reports stop, and own requests alone decide', (t) => {
+test('golden: without recent load reports, only own requests count', (t) => {
   const end = session(t, 'routing-reports-stop', stepRouting, start(), [
     ...at(
       0,
@@ -116,7 +122,7 @@
   t.is(end.upstreams.get('a' as UpstreamId)?.inFlight, 3);
 });
 
-test('golden: cache events with a gap lower a prefix only', (t) => {
+test('golden: lost cache events only lower the score of a prefix', (t) => {
   const prefix = { prefixHash: 'p1' };
   session(t, 'routing-cache-gap', stepRouting, start(), [
     ...at(
@@ -155,9 +161,9 @@
   t.pass();
 });
 
-test('a replica that has just appeared is not overrun', (t) => {
+test('a new replica gets only a few requests at first', (t) => {
   const wants = Array.from({ length: 12 }, (_, index) => want(`r${index}`, 'notice'));
-  const before = play([
+  const before = drive([
     ...at(
       0,
       declared(['a@north', 'b@north'], ['notice']),
@@ -166,24 +172,24 @@
     ),
     ...at(10_000, record('a', ['notice'], { load: load(2) })),
   ]);
-  const appeared = play(at(10_000, record('b', ['notice']), ...wants), before.state);
+  const appeared = drive(at(10_000, record('b', ['notice']), ...wants), before.state);
   const first = chosen(appeared.effects).filter((id) => id === 'b').length;
   t.true(first >= 1 && first <= 3, `${first} of 12 went to the new replica at once`);
 });
 
-test('a cancelled request counts no longer, and says nothing of its upstream', (t) => {
-  const sent = play([...ready, ...at(10_000, want('r1', 'notice'))]);
+test('a cancelled request is no longer in flight and does not affect the health of its upstream', (t) => {
+  const sent = drive([...ready, ...at(10_000, want('r1', 'notice'))]);
   const before = sent.state.upstreams.get('a' as UpstreamId);
   t.is(before?.inFlight, 1);
-  const { state } = play(at(10_001, outcome('r1', 'a', 'cancelled')), sent.state);
+  const { state } = drive(at(10_001, outcome('r1', 'a', 'cancelled')), sent.state);
   t.deepEqual(state.upstreams.get('a' as UpstreamId), { ...before!, inFlight: 0 });
 });
 
-test('all full: refused at once with the time at which the first has room', (t) => {
+test('if all upstreams are full, a request is refused at once with the time until the first has capacity', (t) => {
   const full = (id: string, retryAfterMs: number) => ({
     refusal: refuse('queue-full', 'Full.', { retryAfterMs, candidates: [id] }),
   });
-  const { effects } = play([
+  const { effects } = drive([
     ...ready,
     ...at(10_000, want('r1', 'notice')),
     ...at(10_001, outcome('r1', 'a', 'refused', full('b', 700))),
@@ -197,7 +203,7 @@
   t.is(last?.type === 'refuse' ? last.refusal.retryAfterMs : 0, 299);
 });
 
-test('where nobody has room, models that had their turn make way', (t) => {
+test('if no upstream has room, models that have been in memory long enough may be unloaded', (t) => {
   const refused = (upstream: string): RoutingEvent => ({
     type: 'rescued',
     target: cell.target('cold'),
@@ -208,7 +214,7 @@
       refusal: refuse('memory-full', 'No room.', { retryAfterMs: 0 }),
     },
   });
-  const full = play([
+  const full = drive([
     ...ready,
     ...at(30_000, want('r1', 'cold'), refused('c'), refused('b'), refused('a')),
     ...at(30_010, refused('c'), refused('b'), refused('a')),
@@ -225,55 +231,55 @@
   t.deepEqual(heldElsewhere(full.state, 'a' as UpstreamId, 10_000), ['notice']);
 });
 
-test('a request that needs no upstream any more counts nowhere, and waits for nothing', (t) => {
+test('an abandoned request is neither in flight nor waiting', (t) => {
   const abandoned = (requestId: string): RoutingEvent => ({
     type: 'abandoned',
     requestId: requestId as RequestId,
   });
-  const sent = play([...ready, ...at(10_000, want('r1', 'notice'), want('r2', 'cold'))]);
+  const sent = drive([...ready, ...at(10_000, want('r1', 'notice'), want('r2', 'cold'))]);
   t.is(sent.state.upstreams.get('a' as UpstreamId)?.inFlight, 1);
   t.is(sent.state.waiting.size, 1);
-  const gone = play(at(10_100, abandoned('r1'), abandoned('r2')), sent.state);
+  const gone = drive(at(10_100, abandoned('r1'), abandoned('r2')), sent.state);
   t.is(gone.state.upstreams.get('a' as UpstreamId)?.inFlight, 0);
   t.is(gone.state.waiting.size, 0);
   t.deepEqual(gone.effects, []);
 });
 
-test('a sidecar back under a new incarnation answers for none of the earlier one', (t) => {
+test('failures of an earlier incarnation do not count against a restarted sidecar', (t) => {
   const failures = ['r1', 'r2', 'r3'].flatMap((id, index) => [
     ...at(1_000 + index, want(id, 'letter')),
     ...at(1_500 + index, outcome(id, 'c', 'unreachable', { target: cell.target('letter') })),
   ]);
-  const open = play([...ready, ...failures, ...at(1_600, want('r4', 'letter'))]);
+  const open = drive([...ready, ...failures, ...at(1_600, want('r4', 'letter'))]);
   t.deepEqual(chosen(open.effects), ['c', 'c', 'c']);
-  // Membership hears of the incarnation first, and tells routing before the record itself does.
+  // Membership reports the new incarnation to routing before the record arrives.
   const back = at(
     1_700,
     member('c', 'ready', 2),
     record('c', ['letter'], { incarnation: 2 }),
     want('r5', 'letter'),
   );
-  t.deepEqual(chosen(play(back, open.state).effects), ['c']);
+  t.deepEqual(chosen(drive(back, open.state).effects), ['c']);
 });
 
-test('a leaving upstream gets no new work, and a ticket stays with its incarnation', (t) => {
-  const left = play([...ready, ...at(5_000, member('a', 'leaving'), member('b', 'leaving'))]);
+test('a leaving upstream gets no new requests except those bound to it by a ticket', (t) => {
+  const left = drive([...ready, ...at(5_000, member('a', 'leaving'), member('b', 'leaving'))]);
   const bound = { upstream: 'a' as UpstreamId, incarnation: 1 as Incarnation };
-  const ticketed = play(at(5_001, want('r1', 'notice', { bound })), left.state);
+  const ticketed = drive(at(5_001, want('r1', 'notice', { bound })), left.state);
   t.deepEqual(chosen(ticketed.effects), ['a']);
-  const fresh = play(at(5_002, want('r2', 'notice')), left.state);
+  const fresh = drive(at(5_002, want('r2', 'notice')), left.state);
   t.deepEqual(chosen(fresh.effects), []);
   t.is(fresh.effects[0]?.type, 'rescue');
-  const gone = play(at(5_003, member('a', 'gone'), want('r3', 'notice', { bound })), left.state);
+  const gone = drive(at(5_003, member('a', 'gone'), want('r3', 'notice', { bound })), left.state);
   const [refused] = gone.effects;
   t.is(refused?.type === 'refuse' ? refused.refusal.type : '', 'ticket-upstream-gone');
 });
 
-test('retries stop when they outgrow their share of the answers', (t) => {
+test('retries are refused beyond their fraction of the answers', (t) => {
   const tries = Array.from({ length: 60 }, (_, index) =>
     want(`r${index}`, 'notice', { tried: ['c' as UpstreamId] }),
   );
-  const { effects } = play([...ready, ...at(10_000, ...tries)]);
+  const { effects } = drive([...ready, ...at(10_000, ...tries)]);
   t.is(chosen(effects).length, 50);
   const refused = effects.filter(
     (effect) => effect.type === 'refuse' && effect.refusal.type === 'retry-budget-spent',
@@ -281,7 +287,7 @@
   t.is(refused.length, 10);
 });
 
-test('property: every want is chosen, refused, or waits for a load, exactly once', (t) => {
+test('property: every request is sent or refused exactly once', (t) => {
   const upstream = fc.constantFrom('a', 'b', 'c');
   const event = fc.oneof(
     fc
@@ -312,7 +318,7 @@
       ...at(60_000, { type: 'tick' }),
       ...at(70_000, { type: 'tick' }),
     ];
-    const ends = play(last).effects.flatMap((effect) =>
+    const ends = drive(last).effects.flatMap((effect) =>
       effect.type === 'rescue' ? [] : [effect.requestId],
     );
     return ends.length === wanted && new Set(ends).size === wanted;
--- a/test/support/batchengine.ts
+++ b/test/support/batchengine.ts
@@ -1,9 +1,9 @@
-/** A request's stream at a batching engine. */
+/** The stream of one request at a batching engine. */
 export interface Stream {
-  /** When its caller sent it; it may have waited elsewhere. */
+  /** When its caller sent it; it may have waited at an entry. */
   readonly arrivedAtMs: number;
   readonly sentAtMs: number;
-  /** Who sent it on. */
+  /** The entry that sent it. */
   readonly entry: number;
   promptLeft: number;
   tokensLeft: number;
@@ -20,7 +20,7 @@
 const PROMPT_TOKENS_PER_STEP = 4096;
 const TOKENS_PER_EVENT = 3;
 
-/** One engine: a step reads prompts up to a bound and gives each stream that has been read a token. */
+/** Simulated batching engine: a step prefills prompts up to a bound and emits a token for each stream past prefill. */
 export class BatchEngine {
   readonly slots = SLOTS;
 
@@ -52,39 +52,39 @@
     });
   }
 
-  /** One step of the batch; an idle engine waits. */
+  /** Runs one step of the batch. */
   step(): void {
     while (this.running.length < this.slots && this.queue.length > 0) {
       this.running.push(this.queue.shift()!);
     }
-    let room = PROMPT_TOKENS_PER_STEP;
+    let promptBudget = PROMPT_TOKENS_PER_STEP;
     let read = 0;
     const ready = this.running.filter((stream) => stream.promptLeft === 0);
     for (const stream of this.running) {
-      const part = Math.min(stream.promptLeft, room);
+      const part = Math.min(stream.promptLeft, promptBudget);
       stream.promptLeft -= part;
-      room -= part;
+      promptBudget -= part;
       read += part;
     }
     this.nowMs += STEP_MS + this.running.length * STEP_MS_PER_REQUEST + read / PROMPT_TOKENS_PER_MS;
-    for (const stream of ready) this.token(stream);
+    for (const stream of ready) this.emitToken(stream);
     for (const stream of ready.filter(({ tokensLeft }) => tokensLeft === 0)) {
       this.running.splice(this.running.indexOf(stream), 1);
       this.ended.push(stream);
     }
   }
 
-  private token(stream: Stream): void {
-    const told = stream;
-    told.tokensLeft -= 1;
-    told.sinceEvent += 1;
-    const isEvent = told.sinceEvent === TOKENS_PER_EVENT || told.firstEventAtMs === undefined;
-    if (!isEvent && told.tokensLeft > 0) return;
-    told.sinceEvent = 0;
-    told.firstEventAtMs ??= this.nowMs;
-    const gapMs = this.nowMs - (told.lastEventAtMs ?? this.nowMs);
-    told.longestGapMs = Math.max(told.longestGapMs, gapMs);
-    told.lastEventAtMs = this.nowMs;
-    this.onEvent(told, gapMs);
+  private emitToken(stream: Stream): void {
+    const current = stream;
+    current.tokensLeft -= 1;
+    current.sinceEvent += 1;
+    const isEvent = current.sinceEvent === TOKENS_PER_EVENT || current.firstEventAtMs === undefined;
+    if (!isEvent && current.tokensLeft > 0) return;
+    current.sinceEvent = 0;
+    current.firstEventAtMs ??= this.nowMs;
+    const gapMs = this.nowMs - (current.lastEventAtMs ?? this.nowMs);
+    current.longestGapMs = Math.max(current.longestGapMs, gapMs);
+    current.lastEventAtMs = this.nowMs;
+    this.onEvent(current, gapMs);
   }
 }
--- a/test/support/cell.ts
+++ b/test/support/cell.ts
@@ -14,7 +14,7 @@
 
 type Declared = Extract<RoutingEvent, { type: 'declared' }>;
 
-/** Events of a small service, for tests of routing. */
+/** Builds events of a small service for routing tests. */
 export const cell = {
   target(model: string, adapter?: string): Target {
     const kind = {
@@ -32,7 +32,7 @@
     };
   },
 
-  /** Upstreams `NAME@ZONE` with 4 slots each, and models of 10 GB. */
+  /** Declares upstreams `NAME@ZONE` with 4 slots each, and models of 10 GB. */
   declared(upstreams: readonly string[], models: readonly string[]): Declared {
     return {
       type: 'declared',
@@ -51,7 +51,7 @@
     };
   },
 
-  /** A record; residents are `MODEL` or `MODEL:PHASE`. */
+  /** Creates an upstream record; residents are `MODEL` or `MODEL:PHASE`. */
   record(
     upstream: string,
     residents: readonly string[],
--- a/test/support/plainworld.ts
+++ b/test/support/plainworld.ts
@@ -1,10 +1,10 @@
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { VirtualClock, type Ms, type ServiceId, type UpstreamId } from '../../src/base/index.js';
-import { plainRules } from '../../src/core/plainwait/index.js';
+import { plainWaitRules } from '../../src/core/plainwait/index.js';
 import { Fleet, type UpstreamState } from '../../src/direct/route/index.js';
 
-/** What plays. */
+/** Options of the simulation. */
 interface WorldOptions {
   readonly entryCount: number;
   readonly servers: number;
@@ -13,11 +13,11 @@
   readonly serviceMs: Ms;
   readonly targetMs: Ms;
   readonly deadlineMs: Ms;
-  /** Requests a second at that time. */
+  /** Arrival rate in requests per second at a time. */
   readonly perS: (atMs: Ms) => number;
   readonly seed: number;
-  /** Sends to the least loaded, however long its line is. */
-  readonly isBlind?: boolean;
+  /** Sends requests to the least loaded server, however long its queue is. */
+  readonly ignoresQueues?: boolean;
 }
 
 interface Job {
@@ -30,14 +30,17 @@
 interface Server {
   readonly id: UpstreamId;
   running: number;
-  readonly line: Job[];
+  readonly queue: Job[];
 }
 
 const SERVICE = 'plain' as ServiceId;
-const WAY_MS = 1;
+const LATENCY_MS = 1;
 const STEP_MS = 5;
 
-/** Callers, entries that see each other only by what servers tell with answers, and servers with a line each. */
+/**
+ * Simulates callers, entries and servers with a queue each. Entries learn of each other's requests only from the load
+ * that servers report with their answers.
+ */
 export class PlainWorld {
   readonly clock = new VirtualClock();
 
@@ -62,7 +65,7 @@
     this.servers = Array.from({ length: servers }, (_one, at) => ({
       id: `s${at}` as UpstreamId,
       running: 0,
-      line: [],
+      queue: [],
     }));
     for (const fleet of this.fleets) {
       for (const { id } of this.servers) {
@@ -72,7 +75,7 @@
     }
   }
 
-  /** Runs until every request of that time is answered or refused. */
+  /** Runs until every request that arrives before `untilMs` is answered or refused. */
   run(untilMs: Ms): void {
     for (let atMs = 0; atMs < untilMs; atMs += STEP_MS) {
       this.clock.advanceTo(atMs);
@@ -91,65 +94,65 @@
     const { options, clock } = this;
     const nowMs = clock.nowMs();
     const fleet = this.fleets[entry]!;
-    const need = { service: SERVICE, model: undefined, adapter: undefined };
-    const state = fleet.choose(need, nowMs, { tried });
+    const target = { service: SERVICE, model: undefined, adapter: undefined };
+    const state = fleet.choose(target, nowMs, { tried });
     if (!state) {
       this.refused += 1;
       return;
     }
     const heldMs = nowMs - arrivedAtMs;
-    if (options.isBlind || fleet.mayJoin(state, heldMs, options.targetMs, nowMs)) {
+    if (options.ignoresQueues || fleet.mayJoin(state, heldMs, options.targetMs, nowMs)) {
       tried.add(state.info.id);
       this.send(entry, state, arrivedAtMs, tried);
-    } else if (heldMs < options.deadlineMs * plainRules.lateWaitShare) {
-      clock.after(plainRules.lookMs, () => this.attempt(entry, arrivedAtMs, tried));
+    } else if (heldMs < options.deadlineMs * plainWaitRules.lateWaitShare) {
+      clock.after(plainWaitRules.recheckMs, () => this.attempt(entry, arrivedAtMs, tried));
     } else this.refused += 1;
   }
 
   private send(entry: number, state: UpstreamState, arrivedAtMs: Ms, tried: Set<UpstreamId>): void {
     const { clock, options } = this;
-    const mark = state;
+    const current = state;
     const sentAtMs = clock.nowMs();
     const load = this.fleets[entry]!.load(state.info.id, sentAtMs);
-    mark.inFlight += 1;
+    current.inFlight += 1;
     const server = this.servers.find(({ id }) => id === state.info.id)!;
-    clock.after(WAY_MS, () => {
-      if (server.line.length >= options.queue) {
-        clock.after(WAY_MS, () => {
-          mark.inFlight -= 1;
+    clock.after(LATENCY_MS, () => {
+      if (server.queue.length >= options.queue) {
+        clock.after(LATENCY_MS, () => {
+          current.inFlight -= 1;
           this.fleets[entry]!.learn(state, 'full', { service: SERVICE }, clock.nowMs());
           this.attempt(entry, arrivedAtMs, tried);
         });
         return;
       }
-      server.line.push({ arrivedAtMs, entry, sentAtMs, load });
+      server.queue.push({ arrivedAtMs, entry, sentAtMs, load });
       this.begin(server);
     });
   }
 
   private begin(server: Server): void {
     const { slots, serviceMs } = this.options;
-    while (server.running < slots && server.line.length > 0) {
-      const job = server.line.shift()!;
-      const mark = server;
-      mark.running += 1;
-      // Runs differ by 30 in 100.
+    while (server.running < slots && server.queue.length > 0) {
+      const job = server.queue.shift()!;
+      const current = server;
+      current.running += 1;
+      // The processing time varies by up to 30%.
       const takesMs = serviceMs * (0.7 + 0.6 * this.chance());
       this.clock.after(takesMs, () => {
-        mark.running -= 1;
-        const told = { running: server.running, waiting: server.line.length };
+        current.running -= 1;
+        const report = { running: server.running, waiting: server.queue.length };
         this.begin(server);
-        this.clock.after(WAY_MS, () => this.answered(server, job, told));
+        this.clock.after(LATENCY_MS, () => this.answered(server, job, report));
       });
     }
   }
 
-  private answered(server: Server, job: Job, told: { running: number; waiting: number }): void {
+  private answered(server: Server, job: Job, report: { running: number; waiting: number }): void {
     const nowMs = this.clock.nowMs();
     const fleet = this.fleets[job.entry]!;
     const state = fleet.get(server.id)!;
     state.inFlight -= 1;
-    fleet.learnLoad(state, told, nowMs);
+    fleet.learnLoad(state, report, nowMs);
     fleet.learnService(state, nowMs - job.sentAtMs, job.load);
     const tookMs = nowMs - job.arrivedAtMs;
     if (tookMs <= this.options.targetMs) this.inTime += 1;
--- a/test/support/quotaworld.ts
+++ b/test/support/quotaworld.ts
@@ -11,24 +11,24 @@
   type DrawQuestion,
 } from '../../src/direct/quota/index.js';
 
-/** One customer of the world: its limit, and what it sends. */
+/** One simulated customer: its limit, and what it sends. */
 interface Load {
   readonly quota: Quota;
-  /** Tokens a second that its callers send, over all entries. */
+  /** Tokens per second that its callers send, over all entries. */
   readonly sentPerS: number;
   readonly meanCost: number;
 }
 
-/** What befalls an entry, or the holder, at a moment. */
-export interface Trouble {
+/** A fault of an entry, or of the holder, at a given time. */
+export interface Fault {
   readonly atMs: Ms;
   readonly type: 'kill' | 'freeze' | 'cut' | 'lose-holder' | 'kill-all';
-  /** Which entry; the holder's own are those of `lose-holder`. */
+  /** Index of the entry; ignored by `lose-holder` and `kill-all`. */
   readonly entry: number;
   readonly forMs: Ms;
 }
 
-/** What one customer got. */
+/** Results of one customer. */
 interface Tally {
   readonly sends: { readonly atMs: Ms; readonly cost: number }[];
   asked: number;
@@ -36,21 +36,21 @@
   unknown: number;
 }
 
-/** What plays besides the loads. */
+/** Options of the simulation. */
 interface WorldOptions {
   readonly entryCount: number;
   readonly loads: readonly Load[];
-  readonly troubles?: readonly Trouble[];
+  readonly faults?: readonly Fault[];
   readonly seed?: number;
-  /** Part of the requests that are paid for and then never run. */
+  /** Fraction of the requests that are charged and then never run. */
   readonly unrunShare?: number;
 }
 
 interface Entry {
   readonly id: HostId;
-  desk: QuotaDesk;
+  client: QuotaDesk;
   book: QuotaBook;
-  /** Part of all callers that come here. */
+  /** Fraction of all callers that use this entry. */
   readonly weight: number;
   downUntilMs: Ms;
   cutUntilMs: Ms;
@@ -63,18 +63,18 @@
 const DRAW_TIMEOUT_MS = 150;
 const DELAY_MS = 2;
 const RENEW_MS = 600;
-const RIGHT_MS = 1600;
+const LEASE_MS = 1600;
 const TAKEOVER_MS = 2400;
 const WARM_MS = 4000;
 const TERMS: QuotaTerms = { windowMs: 8000, overshoot: 0.1, slack: 7500 };
 
-/** Entries that keep quotas together, callers, and trouble, in virtual time. */
+/** Simulates entries with shared quotas, callers and faults in virtual time. */
 export class QuotaWorld {
   readonly clock = new VirtualClock();
 
   readonly tallies: readonly Tally[];
 
-  /** Calls between entries that are made for quotas alone. */
+  /** Number of calls between entries made only for quotas. */
   drawCount = 0;
 
   private readonly entries: Entry[];
@@ -89,12 +89,12 @@
 
   private renewedAtMs: Ms = 0;
 
-  private readonly troubles: Trouble[];
+  private readonly faults: Fault[];
 
   constructor(private readonly options: WorldOptions) {
-    const { loads, entryCount, seed = 1, troubles = [] } = options;
+    const { loads, entryCount, seed = 1, faults = [] } = options;
     this.generator = xoroshiro128plus(seed);
-    this.troubles = [...troubles].sort((a, b) => a.atMs - b.atMs);
+    this.faults = [...faults].sort((a, b) => a.atMs - b.atMs);
     this.customers = loads.map(({ quota }, at) => ({ id: `c${at}` as CustomerId, quota }));
     const customers = new Map(this.customers.map((one) => [one.id, one]));
     this.access = { customers, customerByKey: new Map() };
@@ -109,19 +109,19 @@
     this.entries[0]!.book.took(true);
   }
 
-  /** Callers come from `WARM_MS` on, as entries start before traffic does. */
+  /** Runs the simulation; callers start after `WARM_MS`, since entries start before traffic does. */
   async run(untilMs: Ms): Promise<void> {
     for (let atMs = 0; atMs < WARM_MS + untilMs; atMs += STEP_MS) {
       this.clock.advanceTo(atMs);
-      this.strike(atMs);
-      this.keepHolder(atMs);
+      this.applyDueFaults(atMs);
+      this.renewOrTakeOver(atMs);
       for (let at = 0; at < this.entries.length; at += 1) this.step(at, atMs);
-      // Answers of this step are acted on before the next.
-      for (let turn = 0; turn < 6; turn += 1) await Promise.resolve();
+      // Runs the promise callbacks of this step before the next one.
+      for (let round = 0; round < 6; round += 1) await Promise.resolve();
     }
   }
 
-  /** Most that a customer had sent in any window, as a part of what is allowed in one. */
+  /** Returns the most that a customer sent in any window, as a fraction of what a window allows. */
   fullestWindow(at: number): number {
     const { quota } = this.options.loads[at]!;
     const windowS = TERMS.windowMs / 1000;
@@ -145,12 +145,12 @@
     return this.tallies[at]!.sends.reduce((sum, { cost }) => sum + cost, 0);
   }
 
-  private parts(at: number, entry: HostId): { desk: QuotaDesk; book: QuotaBook } {
+  private parts(at: number, entry: HostId): { client: QuotaDesk; book: QuotaBook } {
     const { entryCount } = this.options;
     const parts = () => quotaParts(entryCount);
     const { clock } = this;
     const mayGrant = () =>
-      at === this.holder && clock.nowMs() < this.renewedAtMs + RIGHT_MS && this.isUp(at);
+      at === this.holder && clock.nowMs() < this.renewedAtMs + LEASE_MS && this.isUp(at);
     const book = new QuotaBook({
       clock,
       terms: TERMS,
@@ -160,7 +160,7 @@
     });
     book.limit(this.access);
     const draw = (question: DrawQuestion) => this.draw(at, question);
-    return { book, desk: new QuotaDesk({ entry, clock, terms: TERMS, parts, draw }) };
+    return { book, client: new QuotaDesk({ entry, clock, terms: TERMS, parts, draw }) };
   }
 
   private draw(from: number, question: DrawQuestion): Promise<DrawAnswer | undefined> {
@@ -172,8 +172,8 @@
       }
       if (from !== holder) this.drawCount += 1;
       clock.after(DELAY_MS, () => {
-        const said = this.isUp(holder) ? this.entries[holder]!.book.draw(question) : undefined;
-        clock.after(said ? DELAY_MS : DRAW_TIMEOUT_MS, () => resolve(said));
+        const reply = this.isUp(holder) ? this.entries[holder]!.book.draw(question) : undefined;
+        clock.after(reply ? DELAY_MS : DRAW_TIMEOUT_MS, () => resolve(reply));
       });
     });
   }
@@ -190,10 +190,10 @@
     });
   }
 
-  private async ask({ desk }: Entry, customer: number, { meanCost }: Load): Promise<void> {
+  private async ask({ client }: Entry, customer: number, { meanCost }: Load): Promise<void> {
     const cost = Math.ceil(meanCost * (0.25 + 1.5 * this.chance()));
     const tally = this.tallies[customer]!;
-    const charge = new Charge(desk, this.clock, this.customers[customer], cost);
+    const charge = new Charge(client, this.clock, this.customers[customer], cost);
     tally.asked += cost;
     const taken = await charge.pay(0);
     if (taken.type === 'paid') {
@@ -208,19 +208,19 @@
     const entry = this.entries[at]!;
     entry.reportAtMs = nowMs + REPORT_MS;
     const { holder } = this;
-    const report = entry.desk.report();
+    const report = entry.client.report();
     if (!this.reaches(at, holder)) return;
-    const { desk } = entry;
+    const { client } = entry;
     this.clock.after(DELAY_MS, () => {
-      const said = this.isUp(holder)
+      const reply = this.isUp(holder)
         ? this.entries[holder]!.book.report(entry.id, report)
         : undefined;
-      if (said) this.clock.after(DELAY_MS, () => desk.answered(said, nowMs));
+      if (reply) this.clock.after(DELAY_MS, () => client.answered(reply, nowMs));
     });
   }
 
-  /** Renews the holder's right, or lets another take it when it has lapsed. */
-  private keepHolder(nowMs: Ms): void {
+  /** Renews the holder's lease, or lets another entry take it over once it has lapsed. */
+  private renewOrTakeOver(nowMs: Ms): void {
     const { cutUntilMs } = this.entries[this.holder]!;
     if (this.isUp(this.holder) && nowMs >= cutUntilMs && nowMs >= this.renewedAtMs + RENEW_MS) {
       this.renewedAtMs = nowMs;
@@ -233,25 +233,25 @@
     this.entries[next]!.book.took(false);
   }
 
-  private strike(nowMs: Ms): void {
-    while (this.troubles[0] && nowMs >= this.troubles[0].atMs + WARM_MS) {
-      const { type, entry: at, forMs } = this.troubles.shift()!;
+  private applyDueFaults(nowMs: Ms): void {
+    while (this.faults[0] && nowMs >= this.faults[0].atMs + WARM_MS) {
+      const { type, entry: at, forMs } = this.faults.shift()!;
       const place = type === 'lose-holder' ? this.holder : at % this.entries.length;
-      const struck = type === 'kill-all' ? this.entries.map((_one, each) => each) : [place];
-      for (const each of struck) this.befall(each, type, nowMs + forMs);
+      const targets = type === 'kill-all' ? this.entries.map((_one, each) => each) : [place];
+      for (const each of targets) this.applyFault(each, type, nowMs + forMs);
     }
   }
 
-  private befall(at: number, type: Trouble['type'], untilMs: Ms): void {
+  private applyFault(at: number, type: Fault['type'], untilMs: Ms): void {
     const entry = this.entries[at]!;
     if (type === 'cut') entry.cutUntilMs = untilMs;
     else if (type === 'freeze') entry.frozenUntilMs = untilMs;
     else {
       entry.downUntilMs = untilMs;
-      // It starts with empty books; as its clock runs from its start, it is made when that is.
+      // The process restarts with empty state. It is created at that time because its clock starts then.
       this.clock.after(untilMs - this.clock.nowMs(), () => {
         Object.assign(entry, this.parts(at, entry.id));
-        // A process that starts again on the holder's host is the holder still.
+        // A process that restarts on the holder's host is still the holder.
         if (at === this.holder) entry.book.took(false);
       });
     }
@@ -263,7 +263,7 @@
     return nowMs >= downUntilMs && nowMs >= frozenUntilMs;
   }
 
-  /** Cut entries are reached by callers, but not by other entries. */
+  /** True if one entry can call another. Partitioned entries can be reached by callers, but not by other entries. */
   private reaches(from: number, to: number): boolean {
     if (from === to) return true;
     const nowMs = this.clock.nowMs();
--- a/test/support/rateworld.ts
+++ b/test/support/rateworld.ts
@@ -5,33 +5,33 @@
 import type { SlotAsk } from '../../src/direct/route/index.js';
 import { SlotBook, SlotDesk, type SlotAnswer } from '../../src/direct/selfreport/index.js';
 
-/** What befalls an entry, or the holder, at a moment. */
-export interface RateTrouble {
+/** A fault of an entry, the holder or the store at a given time. */
+export interface RateFault {
   readonly atMs: Ms;
   readonly type: 'kill' | 'freeze' | 'cut' | 'lose-holder' | 'store-away';
-  /** Which entry; the holder's own are those of `lose-holder`. */
+  /** Index of the entry; ignored by `lose-holder` and `store-away`. */
   readonly entry: number;
   readonly forMs: Ms;
 }
 
-/** What plays. */
+/** Options of the simulation. */
 interface RateWorldOptions {
   readonly entryCount: number;
-  /** The limit of each upstream, in requests a second. */
+  /** The limit of each upstream, in requests per second. */
   readonly limits: readonly number[];
-  /** Requests a second over all entries that only these upstreams could run. */
+  /** Demand over all entries in requests per second. */
   readonly askedPerS: number;
-  /** `parts`: each entry goes by its own part of each rate, without a message. */
-  readonly way?: 'slots' | 'parts';
+  /** `slots`: entries ask the holder for slots. `parts`: each entry uses a fixed part of each rate without messages. */
+  readonly method?: 'slots' | 'parts';
   /** How long a request waits for an upstream. */
-  readonly patienceMs?: Ms;
-  readonly troubles?: readonly RateTrouble[];
-  /** Entries that join so many ms after the limits are named. */
+  readonly maxWaitMs?: Ms;
+  readonly faults?: readonly RateFault[];
+  /** Entries that join later, at `atMs`. */
   readonly joining?: { readonly count: number; readonly atMs: Ms };
   readonly seed?: number;
 }
 
-/** One entry's own part of one upstream's rate: the other way. */
+/** One entry's fixed part of one upstream's rate, for the method `parts`. */
 interface Part {
   level: number;
   filledAtMs: Ms;
@@ -39,43 +39,43 @@
 
 interface Entry {
   readonly number: number;
-  desk: SlotDesk;
+  client: SlotDesk;
   book: SlotBook;
   parts: Part[];
   startsAtMs: Ms;
   downUntilMs: Ms;
   cutUntilMs: Ms;
   frozenUntilMs: Ms;
-  /** Requests that wait, by when they came. */
+  /** Arrival times of the waiting requests. */
   waiting: Ms[];
 }
 
 const STEP_MS = 5;
-const LOOK_MS = 20;
+const RECHECK_MS = 20;
 const DELAY_MS = 2;
 const TIMEOUT_MS = 150;
 const RENEW_MS = 600;
-const RIGHT_MS = 1600;
+const LEASE_MS = 1600;
 const TAKEOVER_MS = 2400;
 const MS_PER_S = 1000;
 
-/** Entries that keep limits of upstreams together, callers, and trouble, in virtual time. All have been told at 0. */
+/** Simulates entries that share rate limits of upstreams, callers and faults in virtual time. Limits are known at 0. */
 export class RateWorld {
   readonly clock = new VirtualClock();
 
-  /** When requests reached each upstream. */
+  /** Arrival times of requests at each upstream. */
   readonly arrivals: Ms[][];
 
   askedCount = 0;
 
-  /** Calls between entries. */
+  /** Number of calls between entries. */
   callCount = 0;
 
   private readonly entries: Entry[];
 
   private readonly generator;
 
-  private readonly troubles: RateTrouble[];
+  private readonly faults: RateFault[];
 
   private holder = 0;
 
@@ -86,9 +86,9 @@
   private untilMs: Ms = 0;
 
   constructor(private readonly options: RateWorldOptions) {
-    const { entryCount, limits, seed = 1, troubles = [], joining } = options;
+    const { entryCount, limits, seed = 1, faults = [], joining } = options;
     this.generator = xoroshiro128plus(seed);
-    this.troubles = [...troubles].sort((a, b) => a.atMs - b.atMs);
+    this.faults = [...faults].sort((a, b) => a.atMs - b.atMs);
     this.arrivals = limits.map(() => []);
     const joinCount = joining?.count ?? 0;
     this.entries = Array.from({ length: entryCount + joinCount }, (_one, at) => ({
@@ -106,15 +106,15 @@
     this.untilMs = forMs;
     for (let atMs = STEP_MS; atMs < forMs; atMs += STEP_MS) {
       this.clock.advanceTo(atMs);
-      this.strike(atMs);
-      this.keepHolder(atMs);
+      this.applyDueFaults(atMs);
+      this.renewOrTakeOver(atMs);
       for (let at = 0; at < this.entries.length; at += 1) this.step(at, atMs);
-      // Answers of this step are acted on before the next.
-      for (let turn = 0; turn < 6; turn += 1) await Promise.resolve();
+      // Runs the promise callbacks of this step before the next one.
+      for (let round = 0; round < 6; round += 1) await Promise.resolve();
     }
   }
 
-  /** Most that an upstream got in any window, as a part of what it bears. */
+  /** Returns the most requests an upstream got in any window, as a fraction of what it tolerates. */
   fullestWindow(upstream: number): number {
     const { windowMs, excess, slack } = rateRules;
     const allowed = (excess * this.options.limits[upstream]! * windowMs) / MS_PER_S + slack;
@@ -128,26 +128,26 @@
     return most / allowed;
   }
 
-  /** Part of all limits that was used. */
+  /** Returns the fraction of all limits that was used. */
   used(): number {
     const sum = this.options.limits.reduce((all, perS) => all + perS, 0);
     const sent = this.arrivals.reduce((all, times) => all + times.length, 0);
     return sent / ((sum * this.untilMs) / MS_PER_S);
   }
 
-  private partsOf(at: number): Pick<Entry, 'desk' | 'book' | 'parts'> {
+  private partsOf(at: number): Pick<Entry, 'client' | 'book' | 'parts'> {
     const { clock } = this;
     const share = () => this.shareOf(at);
     const book = new SlotBook({ clock, share });
     const draw = (upstream: UpstreamId, ask: SlotAsk) => this.draw(at, upstream, ask);
     const parts = this.options.limits.map(() => ({ level: 0, filledAtMs: clock.nowMs() }));
-    return { book, desk: new SlotDesk({ clock, draw }), parts };
+    return { book, client: new SlotDesk({ clock, draw }), parts };
   }
 
   private shareOf(at: number): number {
     if (at !== this.holder || !this.isUp(at)) return 0;
     const nowMs = this.clock.nowMs();
-    return nowMs < this.renewedAtMs + RIGHT_MS ? 1 : rateRules.lapsedShare;
+    return nowMs < this.renewedAtMs + LEASE_MS ? 1 : rateRules.lapsedShare;
   }
 
   private draw(
@@ -161,11 +161,11 @@
     if (from !== holder) this.callCount += 1;
     return new Promise((resolve) => {
       const forget = clock.after(waitMs + TIMEOUT_MS, () => resolve(undefined));
-      const answered = (said: SlotAnswer) => {
+      const answered = (reply: SlotAnswer) => {
         if (!this.reaches(from, holder)) return;
         clock.after(from === holder ? 0 : DELAY_MS, () => {
           forget();
-          resolve(said);
+          resolve(reply);
         });
       };
       clock.after(from === holder ? 0 : DELAY_MS, () => {
@@ -179,19 +179,19 @@
   private step(at: number, nowMs: Ms): void {
     const entry = this.entries[at]!;
     if (nowMs < entry.startsAtMs || nowMs < entry.downUntilMs) return;
-    const { askedPerS, patienceMs = 250 } = this.options;
+    const { askedPerS, maxWaitMs = 250 } = this.options;
     if (this.chance() < (askedPerS * STEP_MS) / MS_PER_S / this.entries.length) {
       this.askedCount += 1;
       entry.waiting.push(nowMs);
     }
-    if (nowMs < entry.frozenUntilMs || (nowMs + at * STEP_MS) % LOOK_MS !== 0) return;
+    if (nowMs < entry.frozenUntilMs || (nowMs + at * STEP_MS) % RECHECK_MS !== 0) return;
     entry.waiting = entry.waiting.filter((sinceMs) => {
-      const leftMs = patienceMs - (nowMs - sinceMs);
+      const leftMs = maxWaitMs - (nowMs - sinceMs);
       return leftMs > 0 && !this.send(entry, sinceMs, leftMs, nowMs);
     });
   }
 
-  /** Sends a request to the first upstream that takes it. */
+  /** Sends a request to the first upstream that accepts it; otherwise asks for slots and returns false. */
   private send(entry: Entry, sinceMs: Ms, leftMs: Ms, nowMs: Ms): boolean {
     const asker = `${entry.number}-${sinceMs}`;
     for (const at of this.options.limits.keys()) {
@@ -203,31 +203,31 @@
     const ask = {
       asker,
       rank: 1,
-      waitMs: Math.max(0, leftMs - rateRules.useMs),
+      waitMs: Math.max(0, leftMs - rateRules.minUsableMs),
     };
-    if (this.options.way !== 'parts') entry.desk.want(ids, ask, nowMs);
+    if (this.options.method !== 'parts') entry.client.want(ids, ask, nowMs);
     return false;
   }
 
-  private mayEnter({ desk, parts }: Entry, at: number, asker: string, nowMs: Ms): boolean {
-    if (this.options.way === 'parts') return this.hasPart(parts[at]!, at, nowMs);
+  private mayEnter({ client, parts }: Entry, at: number, asker: string, nowMs: Ms): boolean {
+    if (this.options.method === 'parts') return this.hasPart(parts[at]!, at, nowMs);
     const id = String(at) as UpstreamId;
-    if (desk.opensInMs(id, nowMs, asker) > 0) return false;
-    desk.take(id, nowMs, asker);
+    if (client.opensInMs(id, nowMs, asker) > 0) return false;
+    client.take(id, nowMs, asker);
     return true;
   }
 
   private hasPart(part: Part, at: number, nowMs: Ms): boolean {
-    const mark = part;
+    const current = part;
     const perS = this.options.limits[at]! / this.entries.length;
-    mark.level = Math.min(1, part.level + ((nowMs - part.filledAtMs) * perS) / MS_PER_S);
-    mark.filledAtMs = nowMs;
+    current.level = Math.min(1, part.level + ((nowMs - part.filledAtMs) * perS) / MS_PER_S);
+    current.filledAtMs = nowMs;
     if (part.level < 1) return false;
-    mark.level -= 1;
+    current.level -= 1;
     return true;
   }
 
-  private keepHolder(nowMs: Ms): void {
+  private renewOrTakeOver(nowMs: Ms): void {
     if (nowMs < this.storeBackAtMs) return;
     const { cutUntilMs } = this.entries[this.holder]!;
     const mayRenew = this.isUp(this.holder) && nowMs >= cutUntilMs;
@@ -240,17 +240,21 @@
     this.entries[next]!.book.took();
   }
 
-  private strike(nowMs: Ms): void {
-    while (this.troubles[0] && nowMs >= this.troubles[0].atMs) {
-      const { type, entry: at, forMs } = this.troubles.shift()!;
+  private applyDueFaults(nowMs: Ms): void {
+    while (this.faults[0] && nowMs >= this.faults[0].atMs) {
+      const { type, entry: at, forMs } = this.faults.shift()!;
       if (type === 'store-away') this.storeBackAtMs = Math.max(this.storeBackAtMs, nowMs + forMs);
       else {
-        this.befall(type === 'lose-holder' ? this.holder : at % this.entries.length, type, forMs);
+        this.applyFault(
+          type === 'lose-holder' ? this.holder : at % this.entries.length,
+          type,
+          forMs,
+        );
       }
     }
   }
 
-  private befall(at: number, type: RateTrouble['type'], forMs: Ms): void {
+  private applyFault(at: number, type: RateFault['type'], forMs: Ms): void {
     const entry = this.entries[at]!;
     const untilMs = this.clock.nowMs() + forMs;
     if (type === 'cut') entry.cutUntilMs = untilMs;
@@ -260,7 +264,7 @@
       entry.waiting = [];
       this.clock.after(forMs, () => {
         Object.assign(entry, this.partsOf(at));
-        // A process that starts again on the holder's host is the holder still.
+        // A process that restarts on the holder's host is still the holder.
         if (at === this.holder) entry.book.took();
       });
     }
