--- a/src/entry/continuer.ts
+++ b/src/entry/continuer.ts
@@ -28,14 +28,14 @@
 
   /** True if the generation was complete and only the closing `[DONE]` may be missing. */
   isFinished(): boolean {
-    return this.held?.finished() ?? false;
+    return this.held?.hasEnded() ?? false;
   }
 
   /** What the next engine is given; what it sends is rewritten from now on. */
   next(): Continuation | undefined {
     const continuation = this.held?.continuation();
     if (!this.held || !continuation) return undefined;
-    this.rewrite = continuedEvents(this.held.common(), continuation.tokenCount);
+    this.rewrite = continuedEvents(this.held.streamTemplate(), continuation.tokenCount);
     return continuation;
   }
 }
--- a/src/entry/tickets/ticketdesk.ts
+++ b/src/entry/tickets/ticketdesk.ts
@@ -1,6 +1,6 @@
 import type { Result } from 'ts-results';
 import { result, type Ms, type UpstreamId } from '../../base/index.js';
-import { conclude, routeTicket } from '../../core/idempotency/index.js';
+import { finalRefusal, routeTicket } from '../../core/idempotency/index.js';
 import { refuse } from '../../core/refusal/index.js';
 import { keyHash, requestHash } from '../../shell/hash/index.js';
 import { Budget } from '../../shell/store/index.js';
@@ -74,7 +74,7 @@
   }
 
   conclude(refusals: readonly Refusal[]): Refusal {
-    return conclude(refusals);
+    return finalRefusal(refusals);
   }
 
   private bound(ticket: string, service: string): Result<Binding, Refusal> {
--- a/src/sidecar/runonce/toentry.ts
+++ b/src/sidecar/runonce/toentry.ts
@@ -1,8 +1,11 @@
-import type { Answer } from '../../core/ticket/index.js';
+import type { RecordedAnswer } from '../../core/ticket/index.js';
 import type { RequestHead, TicketEntry } from '../../wire/index.js';
 
 /** A recorded answer as the request path replays it. */
-export function toEntry({ ticket, customer, service }: RequestHead, answer: Answer): TicketEntry {
+export function toEntry(
+  { ticket, customer, service }: RequestHead,
+  answer: RecordedAnswer,
+): TicketEntry {
   const { status, headers, body, pieceBytes } = answer;
   return {
     ticket,
--- a/test/acceptance.test.ts
+++ b/test/acceptance.test.ts
@@ -12,7 +12,7 @@
 
 type Step = typeof stepAcceptance;
 
-test('every change is accepted once or reported truthfully, under any store faults', async (t) => {
+test('property: under any store faults a change is accepted once, or its outcome is reported correctly', async (t) => {
   const property = fc.asyncProperty(races, async (options) => {
     const { violations } = await race(options);
     return violations.length === 0;
@@ -24,11 +24,11 @@
 
 const NOT_MADE: AcceptanceFailure = {
   type: 'change-not-made',
-  detail: 'told without knowing',
+  detail: 'reported without proof',
   cause: 'store-unavailable',
 };
 
-/** Takes the link to the entry before from the last entry of a swap. */
+/** Removes the hash of the previous entry from the last audit entry of a swap. */
 function unlink(swap: Swap): Swap {
   const stored = JSON.parse(swap.value ?? '') as StoredService;
   const audit = stored.audit.map((entry, index) =>
@@ -37,9 +37,9 @@
   return { ...swap, value: JSON.stringify({ ...stored, audit }) };
 }
 
-/** The core with one guard turned off. Each has to be caught by the property above. */
+/** The core with one guard disabled. The property above must detect each of them. */
 const MUTATIONS: Readonly<Record<string, Step>> = {
-  'the revision that the operator expects': (state, event, nowMs) => {
+  'the revision expected by the operator is checked': (state, event, nowMs) => {
     if (state.phase !== 'reading' || event.type !== 'read') {
       return stepAcceptance(state, event, nowMs);
     }
@@ -47,39 +47,47 @@
     const change = { ...state.change, expectedRevision };
     return stepAcceptance({ ...state, change }, event, nowMs);
   },
-  'reading back after a lost answer': (state, event, nowMs) => {
+  'the key is read back after a lost answer': (state, event, nowMs) => {
     const lost = event.type === 'failed' && event.failure.type === 'store-outcome-unknown';
     if (!lost) return stepAcceptance(state, event, nowMs);
     return { state, effects: refused(NOT_MADE) };
   },
-  'sending the swap again when the key is unchanged': (state, event, nowMs) => {
+  'the swap is sent again if the key is unchanged': (state, event, nowMs) => {
     const next = stepAcceptance(state, event, nowMs);
     const again = state.phase === 'readingBack' && next.state.phase === 'swappingAgain';
     return again ? { ...next, effects: refused(NOT_MADE) } : next;
   },
-  'looking for the change id': (state, event, nowMs) => {
+  'the change id is looked up in the stored audit entries': (state, event, nowMs) => {
     const next = stepAcceptance(state, event, nowMs);
     const found = event.type === 'read' || event.type === 'conflict';
     if (!found || next.state.phase !== 'accepted') return next;
     return { ...next, effects: refused(NOT_MADE) };
   },
-  'a refusal after a lost answer decides nothing': (state, event, nowMs) => {
+  'a store failure after a lost answer does not prove that the change was not made': (
+    state,
+    event,
+    nowMs,
+  ) => {
     if (state.phase !== 'swappingAgain' || event.type !== 'failed') {
       return stepAcceptance(state, event, nowMs);
     }
     return { state, effects: refused(NOT_MADE) };
   },
-  'the place in the chain is no longer kept': (state, event, nowMs) => {
+  'the outcome is unknown once the position in the audit chain is no longer kept': (
+    state,
+    event,
+    nowMs,
+  ) => {
     const next = stepAcceptance(state, event, nowMs);
     const uncertain = event.type !== 'waited' && next.state.phase === 'unknown';
     return uncertain ? { ...next, effects: refused(NOT_MADE) } : next;
   },
-  'unknown when the store stays away': (state, event, nowMs) => {
+  'the outcome is unknown if the store stays unavailable': (state, event, nowMs) => {
     const next = stepAcceptance(state, event, nowMs);
     const givenUp = event.type === 'waited' && next.state.phase === 'unknown';
     return givenUp ? { ...next, effects: refused(NOT_MADE) } : next;
   },
-  'the link to the entry before': (state, event, nowMs) => {
+  'each audit entry holds the hash of the previous one': (state, event, nowMs) => {
     const next = stepAcceptance(state, event, nowMs);
     const effects = next.effects.map((effect) =>
       effect.type === 'swap' ? { ...effect, swap: unlink(effect.swap) } : effect,
@@ -89,7 +97,7 @@
 };
 
 for (const [guard, step] of Object.entries(MUTATIONS)) {
-  test(`without the guard "${guard}" the property fails`, async (t) => {
+  test(`the property fails without the guard: ${guard}`, async (t) => {
     const property = fc.asyncProperty(races, async (options) => {
       const { violations } = await race({ ...options, step });
       return violations.length === 0;
--- a/test/audit.test.ts
+++ b/test/audit.test.ts
@@ -24,7 +24,7 @@
 const REGION = 'cantabrico';
 const KEY = serviceKey.of({ region: REGION, service: SERVICE });
 
-/** A document small enough to be read in a golden file. */
+/** A document small enough to be readable in a golden file. */
 const SMALL = JSON.stringify({
   schemaVersion: 1,
   service: 'padron',
@@ -43,15 +43,15 @@
 function change(id: string, expected: number, source: Change['source']): Change {
   const expectedRevision = expected as Revision;
   const changeId = id as ChangeId;
-  const told = { who: 'ana', cause: 'trial', atMs: 1000 };
-  return { service: SERVICE, region: REGION, changeId, expectedRevision, source, ...told };
+  const origin = { who: 'ana', cause: 'trial', atMs: 1000 };
+  return { service: SERVICE, region: REGION, changeId, expectedRevision, source, ...origin };
 }
 
 const text = (value: string): Change['source'] => ({ type: 'text', text: value, file: 'f.jsonc' });
 
 const penalty = (value: number) => PADRON.replace('"movePenalty": 0', `"movePenalty": ${value}`);
 
-/** Three changes in a row, and the store that took them. */
+/** Applies three consecutive changes and returns the store and its value. */
 async function threeChanges() {
   const store = new MemoryStore({ clock: new VirtualClock() });
   const tools = { store, clock: new VirtualClock(), log: () => {} };
@@ -63,7 +63,7 @@
   return { store, tools, stored: decodeStored(value).unwrap() };
 }
 
-test('hunks turn one text into the other', (t) => {
+test('property: the hunks of a line diff turn the first text into the second', (t) => {
   const lines = fc.array(fc.constantFrom('a', 'b', 'c', '')).map((list) => list.join('\n'));
   const property = fc.property(
     lines,
@@ -73,7 +73,7 @@
   t.notThrows(() => fc.assert(property, { seed: 3, numRuns: 1000 }));
 });
 
-test('a rollback is a new change with the old text', async (t) => {
+test('a rollback is a new change that restores an earlier text', async (t) => {
   const { store, tools } = await threeChanges();
   const wanted = change('c4', 4, { type: 'rollback', to: 'c1' as ChangeId });
   const accepted = (await acceptChange(createAcceptance(wanted, sha256), tools)).unwrap();
@@ -90,7 +90,7 @@
   t.is(refused.err && refused.val.type, 'change-not-kept');
 });
 
-test('the same change id given again is accepted as what it was, once', async (t) => {
+test('a repeated change id returns the original outcome, and with another text it is refused', async (t) => {
   const { store, tools } = await threeChanges();
   const again = change('c2', 2, text(penalty(1)));
   const accepted = (await acceptChange(createAcceptance(again, sha256), tools)).unwrap();
@@ -101,27 +101,27 @@
   t.is(refused.err && refused.val.type, 'change-id-reused');
 });
 
-/** Ways to tamper with a stored value. */
+/** Modifications of a stored value that the audit chain must detect. */
 const TAMPERINGS: Readonly<Record<string, (stored: StoredService) => StoredService>> = {
-  'another document': (stored) => ({ ...stored, document: penalty(9) }),
-  'an entry taken out': ({ audit, ...rest }) => ({
+  'a replaced document': (stored) => ({ ...stored, document: penalty(9) }),
+  'a removed entry': ({ audit, ...rest }) => ({
     ...rest,
     audit: audit.filter(({ index }) => index !== 2),
   }),
-  'the last entry taken out': ({ audit, ...rest }) => ({ ...rest, audit: audit.slice(0, -1) }),
-  'another operator': ({ audit, ...rest }) => ({
+  'a removed last entry': ({ audit, ...rest }) => ({ ...rest, audit: audit.slice(0, -1) }),
+  'a changed operator': ({ audit, ...rest }) => ({
     ...rest,
     audit: audit.map((entry) => ({ ...entry, who: 'eva' })),
   }),
-  'another cause': ({ audit, ...rest }) => ({
+  'a changed cause': ({ audit, ...rest }) => ({
     ...rest,
     audit: audit.map((entry) => ({ ...entry, cause: 'none' })),
   }),
-  'entries in another order': ({ audit, ...rest }) => ({ ...rest, audit: [...audit].reverse() }),
+  'reordered entries': ({ audit, ...rest }) => ({ ...rest, audit: [...audit].reverse() }),
 };
 
 for (const [name, tamper] of Object.entries(TAMPERINGS)) {
-  test(`the audit trail shows ${name}`, async (t) => {
+  test(`the audit chain detects ${name}`, async (t) => {
     const { stored } = await threeChanges();
     t.true(verifyChain(stored.audit, stored.document, sha256).ok);
     const { audit, document } = tamper(stored);
@@ -134,7 +134,7 @@
 const DOWN = { type: 'store-unavailable' as const, detail: 'The store is down.' };
 const NOTHING: AcceptanceEvent = { type: 'read', item: undefined };
 
-/** The value that a first change writes. */
+/** Returns the value written by the first change. */
 function written(): string {
   const start = createAcceptance(change('c1', 0, text(SMALL)), sha256);
   const [effect] = stepAcceptance(start, NOTHING, 0).effects;
@@ -170,7 +170,7 @@
 };
 
 for (const [name, events] of Object.entries(SESSIONS)) {
-  test(`session ${name}`, (t) => {
+  test(`golden: the acceptance session ${name}`, (t) => {
     const start = createAcceptance(change('c1', 0, text(SMALL)), sha256);
     session(
       t,
@@ -182,7 +182,7 @@
   });
 }
 
-test('session accept-conflict', (t) => {
+test('golden: the acceptance session accept-conflict', (t) => {
   const theirs = SMALL.replace('"deadlineMs":500', '"deadlineMs":900');
   const start = createAcceptance(change('c2', 1, text(theirs)), sha256);
   session(t, 'accept-conflict', stepAcceptance, start, [
--- a/test/document.test.ts
+++ b/test/document.test.ts
@@ -25,7 +25,7 @@
   readFileSync(join(EXAMPLES, '..', 'schema', 'service.schema.json'), 'utf8'),
 ) as { properties: object; definitions: Record<string, { properties: object }> };
 
-/** Every field of the types: the compiler finds one that is missing here, the test one in the schema. */
+/** All fields of the types. The compiler finds a field missing here, the test one missing in the schema. */
 const FIELDS: {
   readonly document: Fields<Required<ServiceDocument>>;
   readonly customer: Fields<Required<Customer>>;
@@ -85,7 +85,7 @@
   route: { method: true, pathPrefix: true, kind: true },
 };
 
-test('the published schema has the fields of the types, and no others', (t) => {
+test('the published schema has exactly the fields of the types', (t) => {
   const { document, ...definitions } = FIELDS;
   t.deepEqual(Object.keys(SCHEMA.properties).sort(), Object.keys(document).sort());
   for (const [name, fields] of Object.entries(definitions)) {
@@ -110,14 +110,14 @@
   });
 }
 
-/** A bad edit of a document, and the failure that it has to give. */
+/** An invalid edit of a document, and the failure that it must produce. */
 interface Edit {
   readonly of: string;
   readonly from: string | RegExp;
   readonly to: string;
   readonly type: DocumentFailure['type'];
   readonly field: string;
-  /** Text on the line that the failure has to point at. */
+  /** Text on the line that the failure must point at. */
   readonly at: string;
   readonly says?: RegExp;
 }
@@ -158,7 +158,7 @@
     at: '3s',
     says: /must be integer \(a number of milliseconds\)/,
   },
-  'a field that stands twice': {
+  'a repeated field': {
     of: REDACTOR,
     from: '"movePenalty": 2,',
     to: '"movePenalty": 2, "movePenalty": 3,',
@@ -175,7 +175,7 @@
     at: 'chargo',
     says: /did you mean charge\?/,
   },
-  'an adapter of no model': {
+  'an adapter of an undefined model': {
     of: REDACTOR,
     from: '"model": "aviso-concellos-gallego"',
     to: '"model": "aviso-nadie"',
@@ -183,7 +183,7 @@
     field: 'adapters.0.model',
     at: 'aviso-nadie',
   },
-  'an upstream that stands twice': {
+  'a repeated upstream': {
     of: REDACTOR,
     from: '"id": "redactor-2"',
     to: '"id": "redactor-1"',
@@ -191,7 +191,7 @@
     field: 'groups.0.upstreams.1.id',
     at: 'redactor-1',
   },
-  'a call of two kinds': {
+  'a route with two kinds': {
     of: PADRON,
     from: /"kind": "charge"/,
     to: '"kind": "lookup"',
@@ -235,7 +235,7 @@
 };
 
 for (const [name, edit] of Object.entries(EDITS)) {
-  test(`${name} is refused with its place`, (t) => {
+  test(`${name} is refused with its position in the text`, (t) => {
     const text = edit.of.replace(edit.from, edit.to);
     t.not(text, edit.of);
     const checked = checkDocument(text, { file: 'f.jsonc' });
@@ -255,21 +255,21 @@
   return checked.err ? checked.val.map(({ type }) => type) : [];
 }
 
-test('every failure is told at once', (t) => {
+test('all failures are reported together', (t) => {
   const { placement, ...rest } = redactor();
   const kinds = rest.kinds.map((kind) => ({ ...kind, urgency: 1 }));
   t.is(types({ ...rest, kinds } as never, {}).length, rest.kinds.length + 1);
   t.truthy(placement);
 });
 
-test("another team's service is refused", (t) => {
+test('a change of a service that another team owns is refused', (t) => {
   const previous = redactor();
   t.deepEqual(types({ ...previous, owner: 'agentia' }, { previous }), ['document-other-owner']);
   t.deepEqual(types(previous, { previous, team: 'agentia' }), ['document-other-owner']);
   t.deepEqual(types(previous, { previous, team: 'reenvio-norte' }), []);
 });
 
-test('taking away upstreams is refused once a model would lose its place', (t) => {
+test('removing upstreams is refused as soon as the models no longer fit', (t) => {
   const previous = redactor();
   const without = (count: number) => ({ ...previous, groups: previous.groups.slice(count) });
   t.deepEqual(types(without(1), { previous }), ['document-shrinks-too-far']);
--- a/test/fence.test.ts
+++ b/test/fence.test.ts
@@ -37,7 +37,7 @@
 
 const tick: FenceEvent = { type: 'tick' };
 
-test('an incarnation is taken, with the intents of the one before', (t) => {
+test('golden: a new incarnation inherits the intents of the previous one', (t) => {
   const state = session(t, 'fence-taken', stepFence, emptyFence('us'), [
     { atMs: 0, event: tick },
     { atMs: 3, event: { type: 'read', item: item(1, 'them', 7, [load]) } },
@@ -46,7 +46,7 @@
   t.is(state.incarnation, 2 as Incarnation);
 });
 
-test('a lost answer is read back: the incarnation was ours all the time', (t) => {
+test('golden: after a lost answer the key is read back and shows that our swap succeeded', (t) => {
   const state = session(t, 'fence-lost-answer', stepFence, emptyFence('us'), [
     { atMs: 0, event: tick },
     { atMs: 3, event: { type: 'read', item: undefined } },
@@ -58,7 +58,7 @@
   t.is(state.incarnation, 1 as Incarnation);
 });
 
-test('an intent is not recorded before the store says so, through an outage and a lost answer', (t) => {
+test('golden: an intent counts as recorded only after the store confirms it, despite an outage and a lost answer', (t) => {
   session(t, 'fence-outage', stepFence, emptyFence('us'), [
     { atMs: 0, event: tick },
     { atMs: 3, event: { type: 'read', item: undefined } },
@@ -73,7 +73,7 @@
   ]);
 });
 
-test('a paused sidecar that wakes finds its key taken, and never writes again', (t) => {
+test('golden: a suspended sidecar that resumes finds its key taken and never writes again', (t) => {
   const state = session(t, 'fence-superseded', stepFence, emptyFence('us'), [
     { atMs: 0, event: tick },
     { atMs: 3, event: { type: 'read', item: undefined } },
--- a/test/frame.test.ts
+++ b/test/frame.test.ts
@@ -17,7 +17,7 @@
   return { atMs: sequence, event: { requestId: 'r1', attempt: 2, sequence, body, ...more } };
 }
 
-test('golden: late, doubled and crossed frames are dropped, and the answer is whole', (t) => {
+test('golden: late, duplicate and misdirected frames are dropped and the answer is complete', (t) => {
   const state = session(t, 'frames-crossed', stepSequence, startSequence('r1', 2), [
     frame(0, START, { attempt: 1 }),
     frame(0, START),
@@ -34,7 +34,7 @@
   t.is(state.dataCount, 2);
 });
 
-test('golden: a gap ends the answer', (t) => {
+test('golden: a missing frame ends the answer with a gap', (t) => {
   session(t, 'frames-gap', stepSequence, startSequence('r1', 2), [
     frame(0, START),
     frame(2, DATA),
@@ -42,7 +42,7 @@
   ]);
 });
 
-test('golden: a count that does not fit is a gap', (t) => {
+test('golden: a wrong count of data frames in the end frame is a gap', (t) => {
   session(t, 'frames-count', stepSequence, startSequence('r1', 2), [
     frame(0, START),
     frame(1, DATA),
--- a/test/member.test.ts
+++ b/test/member.test.ts
@@ -14,20 +14,20 @@
   return { type: 'listed', hosts: state ? [{ upstream: A, state }] : [] };
 }
 
-function play(happenings: readonly Happening<MemberEvent>[]): MemberState {
+function run(happenings: readonly Happening<MemberEvent>[]): MemberState {
   let state = EMPTY;
   for (const { atMs, event } of happenings) state = stepMember(state, event, atMs).state;
   return state;
 }
 
 function phaseAfter(happenings: readonly Happening<MemberEvent>[]): string | undefined {
-  return play(happenings).members.get(A)?.phase;
+  return run(happenings).members.get(A)?.phase;
 }
 
-test('golden: a host that flaps stays in doubt for longer each time', (t) => {
+test('golden: a flapping host stays suspect for longer each time', (t) => {
   const failures = (atMs: number): Happening<MemberEvent>[] =>
     [0, 10, 20].map((later) => ({ atMs: atMs + later, event: { type: 'failed', upstream: A } }));
-  const signs = (atMs: number): Happening<MemberEvent>[] =>
+  const contacts = (atMs: number): Happening<MemberEvent>[] =>
     [0, 500, 1_000, 2_000, 4_000].map((later) => ({
       atMs: atMs + later,
       event: { type: 'heard', upstream: A },
@@ -35,18 +35,18 @@
   const end = session(t, 'member-flapping', stepMember, EMPTY, [
     { atMs: 0, event: recorded(1) },
     ...failures(1_000),
-    ...signs(1_100),
+    ...contacts(1_100),
     ...failures(6_000),
-    ...signs(6_100),
+    ...contacts(6_100),
     ...failures(11_000),
-    ...signs(11_100),
+    ...contacts(11_100),
     { atMs: 80_000, event: { type: 'tick' } },
   ]);
   t.is(end.members.get(A)?.phase, 'ready');
-  t.is(end.members.get(A)?.doubts, 2);
+  t.is(end.members.get(A)?.suspicions, 2);
 });
 
-test('golden: a host leaves, and its sidecar comes back under a new incarnation', (t) => {
+test('golden: a host leaves and its sidecar returns under a new incarnation', (t) => {
   const end = session(t, 'member-renewed', stepMember, EMPTY, [
     { atMs: 0, event: listed('live') },
     { atMs: 100, event: recorded(1) },
@@ -61,7 +61,7 @@
   t.is(end.members.get(A)?.phase, 'leaving');
 });
 
-test('the list alone does not remove a host that still answers', (t) => {
+test('a host that still answers is not removed because the host list lacks it', (t) => {
   const absent = [10_000, 20_000, 80_000].map((atMs) => ({ atMs, event: listed() }));
   const alive = { atMs: 79_000, event: { type: 'heard' as const, upstream: A } };
   t.is(
@@ -72,7 +72,7 @@
   t.is(phaseAfter([{ atMs: 0, event: recorded(1) }, ...absent]), 'gone');
 });
 
-test('one failed call among answers is no reason for doubt', (t) => {
+test('failed calls between answered ones do not make a host suspect', (t) => {
   const calls = Array.from({ length: 30 }, (_, index) => ({
     atMs: index * 100,
     event: { type: index % 3 === 0 ? ('heard' as const) : ('failed' as const), upstream: A },
--- a/test/mesh.test.ts
+++ b/test/mesh.test.ts
@@ -52,19 +52,19 @@
   revision,
 });
 
-/** Relay order of the six: the first two hold the watches. */
+/** Relay order of the six entries; the first two watch the store. */
 const [FIRST = '', SECOND = '', THIRD = ''] = stepMesh(start('a'), hosts(), 0).state.entries.map(
   ({ id }) => id as string,
 );
 
-/** The events by which a relay comes to watch. */
+/** The events after which a relay watches the store. */
 const watching = [at(0, hosts()), at(0, tick), at(10, listed(5, document(5)))];
 
-test('relay dies: the second takes over its part of the tree, the third its watch', (t) => {
-  const told: MeshEvent = { type: 'watchTold', record: document(6) };
+test('golden: when a relay dies, the second one takes over its part of the tree and the third its watch', (t) => {
+  const update: MeshEvent = { type: 'watchTold', record: document(6) };
   const second = session(t, 'mesh-relay-dies-second', stepMesh, start(SECOND), [
     ...watching,
-    at(100, told),
+    at(100, update),
     at(101, { type: 'pushFailed', to: FIRST, keys: ['document/redactor'] }),
   ]);
   t.true(second.suspects.has(FIRST));
@@ -79,7 +79,7 @@
   t.is(third.store.phase, 'watching');
 });
 
-test('partition and heal: a higher revision seen on a call asks for what was missed', (t) => {
+test('golden: after a partition, a higher revision seen on a call triggers a pull of missed records', (t) => {
   const state = session(t, 'mesh-heal', stepMesh, start(THIRD), [
     at(0, hosts()),
     at(5, answer(SECOND, [])),
@@ -92,7 +92,7 @@
   t.is(state.revision, 8);
 });
 
-test('restart from a stale peer: nobody serves on the word of one that has not caught up', (t) => {
+test('golden: answers of peers that have not caught up do not complete the catch-up of a restarted process', (t) => {
   const state = session(t, 'mesh-stale-peer', stepMesh, start('a'), [
     at(0, hosts()),
     at(10, answer('d', [document(3)], false)),
@@ -107,7 +107,7 @@
   t.is(state.revision, 6);
 });
 
-test('store outage right after acceptance: the relay that heard passes it on, then asks again', (t) => {
+test('golden: in a store outage a relay propagates the last change it received and then lists the store again', (t) => {
   const state = session(t, 'mesh-outage', stepMesh, start(FIRST), [
     ...watching,
     at(100, { type: 'watchTold', record: document(6) }),
@@ -120,7 +120,7 @@
   t.is(state.store.phase, 'watching');
 });
 
-test('watch cut and compacted: the new list also tells what was deleted', (t) => {
+test('golden: after a compaction ended the watch, the new listing also reveals deletions', (t) => {
   const state = session(t, 'mesh-compacted', stepMesh, start(FIRST), [
     ...watching,
     at(100, push('c', document(6, 'padron'))),
@@ -131,7 +131,7 @@
   t.is(state.records.get('document/padron')?.value.length, 0);
 });
 
-test('replaced fleet: the new relays have the store alone, and serve from it', (t) => {
+test('golden: in a replaced fleet the new relays catch up from the store alone', (t) => {
   const state = session(t, 'mesh-replaced', stepMesh, start(FIRST), [
     at(0, hosts()),
     at(0, tick),
@@ -143,7 +143,7 @@
   t.is(state.records.get('document/padron')?.value.length, 0);
 });
 
-test('a node never goes lower, whoever tells it and however', (t) => {
+test('golden: a process never adopts an older version, from any source', (t) => {
   const state = session(t, 'mesh-never-lower', stepMesh, start(FIRST), [
     ...watching,
     at(20, push('c', document(9))),
--- a/test/meshproperty.test.ts
+++ b/test/meshproperty.test.ts
@@ -6,13 +6,13 @@
 const RUNS = 40;
 const MUTANT_RUNS = 400;
 
-test('no process goes back or serves too early, and all converge', (t) => {
+test('property: no process returns to an older version or serves too early, and all converge', (t) => {
   const details = checkMesh(SEED, RUNS);
   t.false(details.failed, JSON.stringify(details.counterexample));
 });
 
 for (const [guard, step] of Object.entries(meshMutations)) {
-  test(`the check fails without the guard: ${guard}`, (t) => {
+  test(`the property fails without the guard: ${guard}`, (t) => {
     t.true(checkMesh(SEED, MUTANT_RUNS, step).failed);
   });
 }
--- a/test/support/meshnode.ts
+++ b/test/support/meshnode.ts
@@ -17,7 +17,7 @@
 const silent = { info() {}, warn() {}, error() {} };
 const uncounted = { count() {}, gauge() {}, histogram() {} };
 
-/** A host list that tests fill themselves. */
+/** A host list filled by the test. */
 export class Hosts implements HostList {
   readonly all: Host[] = [];
 
@@ -30,7 +30,7 @@
     this.all.push({ ...place, id: id as HostId, role, address, state: 'live' });
   }
 
-  /** Starts a node of the mesh over real gRPC on the loopback and lists it. */
+  /** Starts a mesh node over gRPC on the loopback interface and adds it to the host list. */
   async start(
     id: string,
     store: KeyValueStore,
@@ -59,7 +59,7 @@
   }
 }
 
-/** Writes a document as the operator's command does, and gives its revision. */
+/** Writes a document as the operator's command does and returns its revision. */
 export async function writeDocument(
   store: MemoryStore,
   service: string,
@@ -74,7 +74,7 @@
   return swapped.type === 'swapped' ? swapped.revision : (0 as Revision);
 }
 
-/** Resolves when a board has this revision, or a higher one, of a service's document in force. */
+/** Resolves when a board has this or a higher revision of a service's document in force. */
 export function inForce(board: Board, service: string, revision: Revision): Promise<void> {
   if (board.revision(service) >= revision) return Promise.resolve();
   return new Promise((resolve) => {
--- a/test/support/meshproperty.ts
+++ b/test/support/meshproperty.ts
@@ -1,10 +1,10 @@
 import fc from 'fast-check';
 import { stepMesh } from '../../src/core/mesh/index.js';
-import { MeshWorld, type Blow } from './meshworld.js';
+import { MeshWorld, type MeshAction } from './meshworld.js';
 
 const small = fc.nat({ max: 11 });
 
-const blow: fc.Arbitrary<Blow> = fc.oneof(
+const action: fc.Arbitrary<MeshAction> = fc.oneof(
   { weight: 5, arbitrary: fc.record({ type: fc.constant('write' as const), service: small }) },
   { weight: 6, arbitrary: fc.record({ type: fc.constant('wait' as const), ms: fc.nat(4000) }) },
   fc.record({ type: fc.constant('wait' as const), ms: fc.nat(40_000) }),
@@ -27,27 +27,31 @@
   }),
 );
 
-/** Plays one story and gives what went wrong. */
-function play(seed: number, blows: readonly Blow[], step: typeof stepMesh): readonly string[] {
+/** Applies a sequence of actions to a simulated mesh and returns the violations. */
+function run(
+  seed: number,
+  actions: readonly MeshAction[],
+  step: typeof stepMesh,
+): readonly string[] {
   const world = new MeshWorld(seed, 7, step);
-  for (const each of blows) world.strike(each);
+  for (const each of actions) world.apply(each);
   world.settle();
-  return world.faults;
+  return world.violations;
 }
 
 /**
- * Under random loss, delay, reordering, deaths, restarts, partitions, outages and compactions no process
- * goes back, none serves before it has caught up, and all that live converge.
+ * Checks that under random loss, delay, reordering, crashes, restarts, partitions, store outages and
+ * compactions no process returns to an older version or serves before it has caught up, and all converge.
  */
 export function checkMesh(
   seed: number,
   runCount: number,
   step: typeof stepMesh = stepMesh,
-): fc.RunDetails<[number, Blow[]]> {
-  const stories = fc.array(blow, { minLength: 5, maxLength: 40 });
-  const property = fc.property(fc.nat(), stories, (worldSeed, blows) => {
-    const faults = play(worldSeed, blows, step);
-    return faults.length === 0;
+): fc.RunDetails<[number, MeshAction[]]> {
+  const sequences = fc.array(action, { minLength: 5, maxLength: 40 });
+  const property = fc.property(fc.nat(), sequences, (worldSeed, actions) => {
+    const violations = run(worldSeed, actions, step);
+    return violations.length === 0;
   });
   return fc.check(property, { seed, numRuns: runCount, endOnFailure: true });
 }
--- a/test/support/meshworld.ts
+++ b/test/support/meshworld.ts
@@ -12,8 +12,8 @@
 } from '../../src/core/mesh/index.js';
 import { WorldNode as Node } from './worldnode.js';
 
-/** What befalls the mesh. Numbers name nodes or services and are taken modulo their count. */
-export type Blow =
+/** An action of the property test. Numbers select nodes or services, modulo their count. */
+export type MeshAction =
   | { readonly type: 'write' | 'remove'; readonly service: number }
   | { readonly type: 'kill' | 'restart'; readonly node: number }
   | { readonly type: 'restartMany'; readonly mask: number }
@@ -37,10 +37,10 @@
   return Uint8Array.of(value % 256);
 }
 
-/** A region of nodes around the core, in virtual time, with lost, late and reordered messages. */
+/** Simulates a region of nodes in virtual time, with lost, delayed and reordered messages. */
 export class MeshWorld {
-  /** What went wrong, in words; empty when all held. */
-  readonly faults: string[] = [];
+  /** Descriptions of violated properties. */
+  readonly violations: string[] = [];
 
   private readonly clock = new VirtualClock();
 
@@ -77,8 +77,8 @@
     for (const node of this.nodes) this.start(node);
   }
 
-  strike(blow: Blow): void {
-    const handlers: Record<Blow['type'], (each: never) => void> = {
+  apply(action: MeshAction): void {
+    const handlers: Record<MeshAction['type'], (each: never) => void> = {
       write: ({ service }: { service: number }) => this.write(service, true),
       remove: ({ service }: { service: number }) => this.write(service, false),
       kill: ({ node }: { node: number }) => this.kill(this.nodeAt(node)),
@@ -114,10 +114,10 @@
       },
       wait: ({ ms }: { ms: number }) => this.clock.advanceTo(this.clock.nowMs() + ms),
     };
-    handlers[blow.type](blow as never);
+    handlers[action.type](action as never);
   }
 
-  /** Ends all faults, waits, and notes every node that has not got to where the store is. */
+  /** Ends all faults, waits, and records a violation for every node that differs from the store. */
   settle(): void {
     this.partition = 0;
     this.storeIsUp = true;
@@ -126,18 +126,18 @@
     for (const node of this.nodes.filter(({ up }) => !up)) this.start(node);
     this.clock.advanceTo(this.clock.nowMs() + SETTLE_MS);
     for (const { id, state } of this.nodes) {
-      if (state.catchUp.phase !== 'current') this.faults.push(`${id} never caught up`);
+      if (state.catchUp.phase !== 'current') this.violations.push(`${id} never caught up`);
       for (const [key, { sequence, value }] of this.documents) {
         const held = state.records.get(key);
         const heldBytes = held?.value.length ?? 0;
         const isThere = heldBytes > 0 && held?.sequence === sequence;
         if (value.length > 0 ? !isThere : heldBytes > 0) {
-          this.faults.push(`${id} did not converge on ${key}`);
+          this.violations.push(`${id} did not converge on ${key}`);
         }
       }
       for (const key of this.incarnations.keys()) {
         const epochs = this.nodes.map((node) => node.state.records.get(key)?.epoch);
-        if (epochs.some((epoch) => epoch !== epochs[0])) this.faults.push(`${key} differs`);
+        if (epochs.some((epoch) => epoch !== epochs[0])) this.violations.push(`${key} differs`);
       }
     }
   }
@@ -200,34 +200,37 @@
     const { state, effects } = this.step(before, event, this.clock.nowMs());
     node.advance(state);
     if (state.records !== before.records) this.checkForward(node.id, before, state);
-    for (const effect of effects) this.carry(node, effect);
+    for (const effect of effects) this.execute(node, effect);
   }
 
   private checkForward(id: string, before: MeshState, after: MeshState): void {
     for (const [key, held] of before.records) {
       const now = after.records.get(key);
-      if (!now) this.faults.push(`${id} forgot ${key}`);
-      else if (isNewer(held, now)) this.faults.push(`${id} went back on ${key}`);
+      if (!now) this.violations.push(`${id} forgot ${key}`);
+      else if (isNewer(held, now)) this.violations.push(`${id} reverted ${key}`);
     }
   }
 
-  private carry(node: Node, effect: MeshEffect): void {
+  private execute(node: Node, effect: MeshEffect): void {
     const { life } = node;
-    const back = (event: MeshEvent) => {
+    const respond = (event: MeshEvent) => {
       if (node.up && node.life === life) this.dispatch(node, event);
     };
-    if (effect.type === 'push') this.push(node, effect, back);
-    if (effect.type === 'pull') this.pull(node, effect, back);
-    if (effect.type === 'listStore') this.later(() => back(this.listing()));
-    if (effect.type === 'openWatch') this.watch(node, effect.fromRevision, back);
+    if (effect.type === 'push') this.push(node, effect, respond);
+    if (effect.type === 'pull') this.pull(node, effect, respond);
+    if (effect.type === 'listStore') this.later(() => respond(this.listing()));
+    if (effect.type === 'openWatch') this.watch(node, effect.fromRevision, respond);
     if (effect.type === 'closeWatch') this.watches.delete(node);
     if (effect.type === 'caughtUp' && effect.phase === 'current') {
-      if (this.isEarly(node)) this.faults.push(`${node.id} served too early`);
+      if (this.isEarly(node)) this.violations.push(`${node.id} served too early`);
       for (const other of this.nodes) other.lowerFloor(node.state);
     }
   }
 
-  /** A document that the store no longer has may be missing, but not stand at an older edition. */
+  /**
+   * True if a node that reports to have caught up holds a version below its floor. Only a document that
+   * the store has deleted may be missing.
+   */
   private isEarly({ state, floor }: Node): boolean {
     for (const [key, sequence] of floor) {
       const held = state.records.get(key);
@@ -240,27 +243,27 @@
   private push(
     node: Node,
     { to, batch }: Extract<MeshEffect, { type: 'push' }>,
-    back: (event: MeshEvent) => void,
+    respond: (event: MeshEvent) => void,
   ): void {
     const keys = batch.records.map(({ key }) => key);
     this.send(node, to, { type: 'pushArrived', callId: 0, batch }, (answer) => {
-      if (answer?.type !== 'answerPush') back({ type: 'pushFailed', to, keys });
-      else back({ type: 'pushAnswered', to, revision: answer.digest.revision });
+      if (answer?.type !== 'answerPush') respond({ type: 'pushFailed', to, keys });
+      else respond({ type: 'pushAnswered', to, revision: answer.digest.revision });
     });
   }
 
   private pull(
     node: Node,
     { to, digest }: Extract<MeshEffect, { type: 'pull' }>,
-    back: (event: MeshEvent) => void,
+    respond: (event: MeshEvent) => void,
   ): void {
     this.send(node, to, { type: 'pullArrived', callId: 0, digest }, (answer) => {
-      if (answer?.type !== 'answerPull') back({ type: 'pullFailed', from: to });
-      else back({ type: 'pullAnswered', from: to, batch: answer.batch });
+      if (answer?.type !== 'answerPull') respond({ type: 'pullFailed', from: to });
+      else respond({ type: 'pullAnswered', from: to, batch: answer.batch });
     });
   }
 
-  /** Carries a call there and its answer back; either may be lost, and then the call times out. */
+  /** Delivers a call and its answer. Either may be lost; the call then times out. */
   private send(
     from: Node,
     to: string,
@@ -283,7 +286,7 @@
       if (state.records !== before.records) this.checkForward(target.id, before, state);
       for (const effect of effects) {
         const isAnswer = effect.type === 'answerPush' || effect.type === 'answerPull';
-        if (!isAnswer) this.carry(target, effect);
+        if (!isAnswer) this.execute(target, effect);
         else if (!this.isLost(target, from)) this.later(() => end(effect));
       }
     });
@@ -305,22 +308,22 @@
     return { type: 'storeListed', records, revision: this.revision };
   }
 
-  private watch(node: Node, fromRevision: number, back: (event: MeshEvent) => void): void {
+  private watch(node: Node, fromRevision: number, respond: (event: MeshEvent) => void): void {
     if (fromRevision < this.compacted) {
-      this.later(() => back({ type: 'watchEnded', compacted: true }));
+      this.later(() => respond({ type: 'watchEnded', compacted: true }));
       return;
     }
     this.watches.add(node);
     const missed = [...this.documents.values()].filter(({ sequence }) => sequence > fromRevision);
-    for (const record of missed) this.later(() => back({ type: 'watchTold', record }));
+    for (const record of missed) this.later(() => respond({ type: 'watchTold', record }));
   }
 
-  private write(service: number, there: boolean): void {
+  private write(service: number, exists: boolean): void {
     if (!this.storeIsUp) return;
     const key = `document/s${service % SERVICES}`;
-    if (!there && !this.documents.get(key)?.value.length) return;
+    if (!exists && !this.documents.get(key)?.value.length) return;
     this.revision += 1;
-    const value = there ? byteOf(this.revision) : new Uint8Array(0);
+    const value = exists ? byteOf(this.revision) : new Uint8Array(0);
     const record = { key, epoch: 0, sequence: this.revision, value, origin: '' };
     this.documents.set(key, record);
     for (const node of this.watches) {
@@ -341,7 +344,7 @@
     }
   }
 
-  /** A sidecar comes back under the next incarnation and tells one node. */
+  /** Publishes the next incarnation of a sidecar to one node. */
   private publish(upstream: number): void {
     const index = upstream % 2;
     const key = `upstream/s0/u${index}`;
--- a/test/support/worldnode.ts
+++ b/test/support/worldnode.ts
@@ -1,12 +1,12 @@
 import type { MeshState } from '../../src/core/mesh/index.js';
 
-/** One process and its place in the world. */
+/** One process of the simulated mesh. */
 export class WorldNode {
   life = 0;
 
   up = false;
 
-  /** Of each document, the lowest that any node that had caught up held when this life began, or since. */
+  /** For each document, the lowest version that any caught-up node has held since this process started. */
   floor: ReadonlyMap<string, number> = new Map();
 
   constructor(
@@ -29,7 +29,7 @@
     this.state = state;
   }
 
-  /** Another node has caught up: this one may take what that one holds. */
+  /** Lowers the floor to the versions of another node that has caught up: this one may catch up from it. */
   lowerFloor(other: MeshState): void {
     const lowered = [...this.floor].map(
       ([key, sequence]) =>
--- a/test/ticket.test.ts
+++ b/test/ticket.test.ts
@@ -58,7 +58,7 @@
   return `${effect.refusal.type} ${Executed[effect.refusal.executed]}`;
 }
 
-test('a repeat waits for the running one, and later ones get the record', (t) => {
+test('a repeated request waits for the running one, and later ones get the recorded answer', (t) => {
   const table = new Table();
   const ticket = table.issue();
   t.is(table.begin(ticket, 'a')?.type, 'run');
@@ -71,7 +71,7 @@
   t.is(table.begin(ticket, 'c')?.type, 'replay');
 });
 
-test('a ticket serves one customer and one request', (t) => {
+test('a ticket is valid for one customer and one request only', (t) => {
   const table = new Table();
   const ticket = table.issue();
   const other = table.begin(ticket, 'a', 0, 'h', 'county' as CustomerId);
@@ -80,13 +80,13 @@
   t.is(refusal(table.begin(ticket, 'c', 0, 'other')), 'ticket-mismatch EXECUTED_NO');
 });
 
-test('what was not sent may be tried again, until the ticket expires', (t) => {
+test('a request that was not sent may be retried until its ticket expires', (t) => {
   const table = new Table();
   const ticket = table.issue(SECRET, 1000);
   t.is(table.begin(ticket, 'a')?.type, 'run');
   t.is(table.begin(ticket, 'b'), undefined);
-  const [told] = table.do({ type: 'finish', ticket, end: { type: 'none' } }, 10);
-  t.is(refusal(told), 'ticket-not-run EXECUTED_NO');
+  const [waiter] = table.do({ type: 'finish', ticket, end: { type: 'none' } }, 10);
+  t.is(refusal(waiter), 'ticket-not-run EXECUTED_NO');
   t.is(table.begin(ticket, 'c', 999)?.type, 'run');
   const [late] = table.do({ type: 'start', callId: 'c', ticket }, 1000);
   t.is(refusal(late), 'ticket-expired EXECUTED_NO');
@@ -97,7 +97,7 @@
   t.is(table.state.usedBytes, 0);
 });
 
-test('a broken run stays unknown', (t) => {
+test('the outcome of a run that broke off stays unknown', (t) => {
   const table = new Table();
   const ticket = table.issue();
   table.begin(ticket, 'a');
@@ -105,7 +105,7 @@
   t.is(refusal(table.begin(ticket, 'b')), 'outcome-unknown EXECUTED_UNKNOWN');
 });
 
-test('at the byte limit old bodies go, then new tickets are refused with a true time', (t) => {
+test('at the memory limit old answers are dropped, then new tickets are refused with a correct retry-after', (t) => {
   const table = new Table();
   const tickets = Array.from({ length: 4 }, (_, index) => table.issue(`${SECRET}${index}`));
   for (const ticket of tickets) {
@@ -132,7 +132,7 @@
   t.false(table.issue('d'.repeat(22), 0, waitMs).startsWith('{'));
 });
 
-test('an answer above its own limit keeps only its outcome', (t) => {
+test('of an answer above the answer limit only the outcome is kept', (t) => {
   const table = new Table();
   const kept = table.issue();
   table.begin(kept, 'a');
@@ -144,7 +144,7 @@
   t.is(table.begin(kept, 'd')?.type, 'replay');
 });
 
-test('a planned stop cancels what was not used, and a peer answers for the rest', (t) => {
+test('a planned stop cancels unused tickets, and a peer takes over the outcomes of the others', (t) => {
   const table = new Table();
   const [unused, answered, broken, running] = ['1', '2', '3', '4'].map((n) =>
     table.issue(`${SECRET}${n}`),
@@ -171,7 +171,7 @@
   t.is(refusal(heir.begin(running, 'e')), 'outcome-unknown EXECUTED_UNKNOWN');
 });
 
-test('what a leaving sidecar did not send in the end is cancelled', (t) => {
+test('a leaving sidecar cancels the ticket of a request that it did not send', (t) => {
   const table = new Table();
   const ticket = table.issue();
   table.begin(ticket, 'a');
@@ -180,7 +180,7 @@
   t.is(refusal(table.begin(ticket, 'b')), 'ticket-cancelled EXECUTED_NO');
 });
 
-test('tickets are written and read', (t) => {
+test('a formatted ticket parses to the same parts, and malformed tickets do not parse', (t) => {
   const name = { upstream: 'a.b/ș' as UpstreamId, incarnation: 12 as Incarnation, secret: SECRET };
   t.deepEqual(ticketName.read(ticketName.write(name)), name);
   t.is(ticketName.read('a.1.short'), undefined);
