--- a/bench/accesscost.ts
+++ b/bench/accesscost.ts
@@ -1,7 +1,7 @@
 import { VirtualClock, type CustomerId, type HostId, type KeyHash } from '../src/base/index.js';
 import type { AccessTable, CustomerSpec, Quota } from '../src/core/access/index.js';
 import { decideAccess, type RouteTable } from '../src/core/routetable/index.js';
-import { Charge, QuotaDesk } from '../src/direct/quota/index.js';
+import { Charge, QuotaClient } from '../src/direct/quota/index.js';
 import { bearerHash, hashKey } from '../src/shell/hash/index.js';
 import type { Bench } from './bench.js';
 
@@ -49,8 +49,8 @@
   const clock = new VirtualClock();
   const entry = 'entry-1' as HostId;
   const draw = () => Promise.resolve(undefined);
-  const desk = new QuotaDesk({ entry, clock, terms: TERMS, parts: () => 1, draw });
-  for (const id of table.access?.customers.keys() ?? []) desk.giveBack(id, Number.MAX_SAFE_INTEGER);
+  const desk = new QuotaClient({ entry, clock, terms: TERMS, parts: () => 1, draw });
+  for (const id of table.access?.customers.keys() ?? []) desk.refund(id, Number.MAX_SAFE_INTEGER);
   const authorization = keys === 0 ? undefined : 'Bearer key-1';
   const ms = timed(() => {
     for (let at = 0; at < REQUESTS; at += 1) {
--- a/src/core/poison/crashstate.ts
+++ b/src/core/poison/crashstate.ts
@@ -1,13 +1,13 @@
 /**
- * What has become clear of an upstream that seemed to end under a request; where two entries differ, the later
- * one of this list holds.
+ * What is known of an upstream that seemed to crash under a request. Where the records of two entries differ, the
+ * state that stands later in this list wins.
  */
 export type CrashState =
   /** The connection broke; nothing else is known yet. */
   | 'open'
-  /** The upstream goes on, or was about to leave: the request has nothing to do with it. */
+  /** The upstream is still running, or was about to leave: the request is not the cause. */
   | 'explained'
   /** The upstream is gone. */
   | 'ended'
-  /** The same request ran well elsewhere, or an operator has lifted the verdict. */
+  /** The same request completed on another upstream, or an operator has lifted the verdict. */
   | 'cleared';
--- a/src/core/poison/index.ts
+++ b/src/core/poison/index.ts
@@ -1,5 +1,5 @@
-/** Which requests end the upstreams that run them, told from those that ran beside them by bad luck. */
-export { chanceOfEnd } from './chanceofend.js';
+/** Tells requests that crash upstreams (queries of death) from those that only ran on a crashing upstream. */
+export { crashProbability } from './crashprobability.js';
 export { countedCrashes } from './countedcrashes.js';
 export type { Crash } from './crash.js';
 export type { CrashState } from './crashstate.js';
--- a/src/core/poison/judge.ts
+++ b/src/core/poison/judge.ts
@@ -5,8 +5,8 @@
 import type { Verdict } from './verdict.js';
 
 /**
- * Independent ends, by their chance. Those of runs that were sent before any end was known count as one, by the
- * most probable of them: they may have come together.
+ * Returns the chances of the independent crashes. Crashes of runs that are no trials count as one, with the highest
+ * of their chances: those runs may have been sent before any crash was known, and the crashes may share a cause.
  */
 function independentChances(counted: readonly Crash[]): readonly number[] {
   const chances = (isTrial: boolean) =>
@@ -15,13 +15,13 @@
   return first.length > 0 ? [Math.max(...first), ...chances(true)] : chances(true);
 }
 
-/** The verdict follows from the crashes alone, so that all entries that know of them agree. */
+/** Returns the verdict on a request. It depends on the crashes alone, so all entries that know them agree. */
 export function judge(suspect: Pick<Suspect, 'crashes'>): Verdict {
   const chances = independentChances(countedCrashes(suspect));
-  const { leastCrashes, mostCrashes, mostChance } = poisonRules;
+  const { minCrashes, sufficientCrashes, maxProbability } = poisonRules;
   if (chances.length === 0) return 'sound';
-  if (chances.length >= mostCrashes) return 'poison';
-  if (chances.length < leastCrashes) return 'suspect';
+  if (chances.length >= sufficientCrashes) return 'poison';
+  if (chances.length < minCrashes) return 'suspect';
   const chance = chances.reduce((product, each) => product * each, 1);
-  return chance <= mostChance ? 'poison' : 'suspect';
+  return chance <= maxProbability ? 'poison' : 'suspect';
 }
--- a/src/core/poison/merge.ts
+++ b/src/core/poison/merge.ts
@@ -6,7 +6,7 @@
 
 function mergeCrash(mine: Crash | undefined, theirs: Crash): Crash {
   if (!mine) return theirs;
-  // Two runs of one request ended with one upstream: the shorter one says more.
+  // Two runs of the request were on the same upstream when it crashed: the shorter one is the stronger evidence.
   const runMs = Math.min(mine.runMs, theirs.runMs);
   const chance = Math.min(mine.chance, theirs.chance);
   const isTrial = mine.isTrial || theirs.isTrial;
@@ -20,8 +20,8 @@
 }
 
 /**
- * What two entries know of one request, together: in any order, any number of times, with the same result.
- * Gives `mine` itself if the other has nothing new.
+ * Merges what two entries know of one request. The merge is commutative, associative and idempotent, so entries may
+ * exchange records in any order and repeatedly. Returns `mine` itself if `theirs` adds nothing.
  */
 export function merge(mine: Suspect | undefined, theirs: Suspect): Suspect {
   if (!mine) return theirs;
--- a/src/core/poison/poisonrules.ts
+++ b/src/core/poison/poisonrules.ts
@@ -1,21 +1,21 @@
-/** When a request counts as one that ends its upstreams. */
+/** When a request is taken as the cause of crashes. */
 export const poisonRules = {
   /**
-   * So many ends without a sound run between them are enough, however busy the fleet is with ends. A caller that
-   * comes back once meets two at most by chance, so that the third is no longer its own bad luck.
+   * This many independent crashes are sufficient, however often upstreams crash otherwise. A caller that retries once
+   * meets at most two crashes by chance, so a third one is not explained by chance.
    */
-  mostCrashes: 3,
-  /** Fewer are never enough: one end has a dozen innocent requests with it. */
-  leastCrashes: 2,
+  sufficientCrashes: 3,
+  /** Fewer crashes are never sufficient: a dozen innocent requests run on an upstream when it crashes. */
+  minCrashes: 2,
   /**
-   * Two ends are enough if chance alone would have brought both with this probability at most. With 13 upstreams
-   * and no other end in 30 s, two runs of up to 3.9 s each; with nine ends in that time, of up to 0.39 s.
+   * Two crashes are sufficient if the probability that both had other causes is at most this. With 13 upstreams and no
+   * other crash in 30 s this holds for two runs of up to 3.9 s each; with nine crashes in that time, of up to 0.39 s.
    */
-  mostChance: 1e-4,
-  /** Ends within this time say how common they are now. */
+  maxProbability: 1e-4,
+  /** The crash rate is estimated from crashes within this time. */
   windowMs: 30_000,
-  /** Ends that are taken for granted in each window, so that the first one of a calm day is not a miracle. */
-  priorEnds: 1,
-  /** A chance is never less than this: clocks and network add milliseconds to a run. */
-  leastChance: 1e-6,
+  /** Crashes added to the count of each window: without them the first crash in a calm window would seem impossible. */
+  priorCrashes: 1,
+  /** Lower bound of the chance of one crash: clocks and network add milliseconds to a run. */
+  minProbability: 1e-6,
 } as const;
--- a/src/core/poison/verdict.ts
+++ b/src/core/poison/verdict.ts
@@ -1,8 +1,8 @@
-/** What is thought of a request that has come before. */
+/** How a request is treated, by the crashes of upstreams that ran it before. */
 export type Verdict =
-  /** Nothing speaks against it. */
+  /** No evidence against it. */
   | 'sound'
-  /** Upstreams ended under it, which may be bad luck: it runs alone, where it does least harm. */
+  /** Upstreams crashed under it, maybe by coincidence: it runs one at a time, where a crash does least harm. */
   | 'suspect'
-  /** It ends the upstreams that run it: it is not sent to one. */
+  /** It crashes the upstreams that run it: it is not sent to any. */
   | 'poison';
--- /dev/null
+++ b/src/core/selfreport/applyselfreport.ts
@@ -0,0 +1,26 @@
+import type { Ms } from '../../base/index.js';
+import type { SelfReport } from '../../port/index.js';
+import type { ReportedState } from './reportedstate.js';
+
+/**
+ * Applies the report of an answer that has just arrived. The newest answer decides the rate; a backoff lasts until the
+ * latest end that was asked for. Returns the same state if the report changes nothing.
+ */
+export function applySelfReport(
+  state: ReportedState,
+  report: SelfReport,
+  nowMs: Ms,
+): ReportedState {
+  const { rate, pauseMs } = report;
+  const hasRate = rate.type !== 'unsaid' && nowMs >= state.rateAtMs;
+  const wasLimited = state.ratePerS !== undefined;
+  const isRelevant =
+    rate.type === 'limited' || wasLimited || report.isLeaving || pauseMs !== undefined;
+  if (!isRelevant) return state;
+  const pausedUntilMs = Math.max(state.pausedUntilMs, nowMs + (pauseMs ?? -Infinity));
+  const isLeaving = state.isLeaving || report.isLeaving;
+  const next = { ...state, isLeaving, pausedUntilMs };
+  if (!hasRate) return next;
+  const ratePerS = rate.type === 'limited' ? rate.perS : undefined;
+  return { ...next, ratePerS, rateAtMs: nowMs };
+}
--- a/src/core/selfreport/index.ts
+++ b/src/core/selfreport/index.ts
@@ -1,4 +1,4 @@
-/** What upstreams say of themselves in their answers: a limit of requests, that they leave, that they want a pause. */
-export { freshStanding } from './freshstanding.js';
-export { onSelfReport } from './onselfreport.js';
-export type { Standing } from './standing.js';
+/** What upstreams report of themselves in their answers: a rate limit, that they are leaving, a backoff. */
+export { initialReportedState } from './initialreportedstate.js';
+export { applySelfReport } from './applyselfreport.js';
+export type { ReportedState } from './reportedstate.js';
--- a/src/direct/directentry.ts
+++ b/src/direct/directentry.ts
@@ -24,19 +24,19 @@
   type DemandReport,
   type FindAnswer,
 } from './orders/index.js';
-import { PoisonDesk, poisonLimits } from './poison/index.js';
+import { PoisonGuard, poisonLimits } from './poison/index.js';
 import {
   customerLabel,
-  QuotaBook,
-  QuotaDesk,
-  tellCustomers,
+  QuotaLedger,
+  QuotaClient,
+  listCustomers,
   type DrawAnswer,
-  type DrawQuestion,
+  type DrawRequest,
 } from './quota/index.js';
-import { Fleet, type Need } from './route/index.js';
+import { Fleet, type Target } from './route/index.js';
 import { Reporter } from './reporter.js';
 import { ReturnDetector } from './returndetector.js';
-import { UpstreamGate, type SlotAnswer, type SlotQuestion } from './selfreport/index.js';
+import { UpstreamGate, type SlotAnswer, type SlotRequest } from './selfreport/index.js';
 import { Run } from './run/index.js';
 import { Seeker } from './seeker.js';
 import type { Serving } from './serving.js';
@@ -74,9 +74,9 @@
 
   readonly fleet: Fleet;
 
-  readonly poison: PoisonDesk;
+  readonly poison: PoisonGuard;
 
-  readonly quota: QuotaDesk;
+  readonly quota: QuotaClient;
 
   readonly gate: UpstreamGate;
 
@@ -98,7 +98,7 @@
 
   private readonly intakes = new Set<Intake>();
 
-  private readonly quotaBook: QuotaBook;
+  private readonly quotaBook: QuotaLedger;
 
   private readonly meter: DemandMeter;
 
@@ -160,26 +160,26 @@
       entries: () => ({ count: this.knownCount(), parts: this.entryParts() }),
       onTaken: (isFirst) => {
         this.dispatcher.leaseTaken(isFirst);
-        this.quotaBook.took(isFirst);
-        this.gate.took();
+        this.quotaBook.takeOver(isFirst);
+        this.gate.takeOver();
       },
     });
     const { quotaTerms: terms } = settings;
     const parts = () => this.entryParts();
-    this.quotaBook = new QuotaBook({
+    this.quotaBook = new QuotaLedger({
       clock,
       terms,
       parts,
       entryCount: () => this.knownCount(),
       mayGrant: () => this.orderLease.mayAnswer(),
     });
-    this.quota = new QuotaDesk({ entry: host, clock, terms, parts, draw: (q) => this.draw(q) });
+    this.quota = new QuotaClient({ entry: host, clock, terms, parts, draw: (q) => this.draw(q) });
     const { metrics } = context;
     const shared = { link, clock, log, metrics, host, loadWindowMs, loadOvershoot };
     const listSilentMs = () => this.follower.silentMs();
     const listSteadyMs = () => this.follower.steadyMs();
     const loadOf = (id: UpstreamId) => this.fleet.load(id, clock.nowMs());
-    const promptsPerPause = (service: ServiceId) => this.fleet.promptsPerPause(service);
+    const promptsPerPause = (service: ServiceId) => this.fleet.promptsPerGap(service);
     const limitOf = (upstream: Upstream) => this.gate.limitOf(upstream);
     const reading = { listSilentMs, listSteadyMs, loadOf, limitOf, promptsPerPause };
     this.dispatcher = new OrderDispatcher({ ...shared, ...reading, lease: this.orderLease });
@@ -202,20 +202,20 @@
       hasCustomers: () => this.table?.access !== undefined,
     });
     const handlers = {
-      trial: (...args: Parameters<PoisonDesk['hearTrial']>) => this.poison.hearTrial(...args),
+      trial: (...args: Parameters<PoisonGuard['decideTrial']>) => this.poison.decideTrial(...args),
       suspects: () => this.poison.list(),
-      lift: (...args: Parameters<PoisonDesk['lift']>) => this.poison.lift(...args),
-      find: (need: Need) => this.dispatcher.find(need),
+      lift: (...args: Parameters<PoisonGuard['lift']>) => this.poison.lift(...args),
+      find: (need: Target) => this.dispatcher.find(need),
       demand: (report: DemandReport) => this.reporter.answer(report),
       customers: () =>
-        this.table?.access && tellCustomers(this.table.access, this.quota, this.quotaBook),
-      draw: (question: DrawQuestion) => this.quotaBook.draw(question),
-      slot: (question: SlotQuestion) => this.gate.answer(question),
+        this.table?.access && listCustomers(this.table.access, this.quota, this.quotaBook),
+      draw: (question: DrawRequest) => this.quotaBook.draw(question),
+      slot: (question: SlotRequest) => this.gate.answer(question),
       swap: (swap: Swap) => feed.swap(swap),
       changes: (question: Parameters<SharedFeed['answer']>[0]) => this.shared.answer(question),
     };
     this.peers = new Peers(handlers, clock, log);
-    const ask = (need: Need) => this.askHolder(need);
+    const ask = (need: Target) => this.askHolder(need);
     const ordersInMs = () => this.orderLease.takeoverInMs();
     const seeking = { clock, log, fleet: this.fleet, meter: this.meter };
     this.seeker = new Seeker({ ...seeking, ask, ordersInMs });
@@ -331,19 +331,19 @@
     return this.returnDetector.isReturn(route.name, deadlineMs);
   }
 
-  arrived(need: Need): void {
+  arrived(need: Target): void {
     this.meter.arrived(need);
   }
 
-  waiting(need: Need, change: 1 | -1): void {
+  waiting(need: Target, change: 1 | -1): void {
     this.meter.waiting(need, change);
   }
 
-  began(need: Need): void {
+  began(need: Target): void {
     this.meter.began(need);
   }
 
-  left(need: Need, tookMs: Ms): void {
+  left(need: Target, tookMs: Ms): void {
     this.meter.ended(need, tookMs);
   }
 
@@ -367,9 +367,9 @@
   }
 
   upstream(listed: Upstream): void {
-    const upstream = this.gate.told(listed);
+    const upstream = this.gate.withReportedState(listed);
     this.fleet.put(upstream);
-    if (upstream.isLeaving) this.poison.upstreamLeaves(upstream.id);
+    if (upstream.isLeaving) this.poison.upstreamLeaving(upstream.id);
     this.dispatcher.upstream(upstream);
   }
 
@@ -420,7 +420,7 @@
   }
 
   private resumed(nowMs: Ms): void {
-    this.fleet.woke(nowMs);
+    this.fleet.resumed(nowMs);
     this.log.warn('process stood still', { sinceTickMs: Math.round(nowMs - this.tickedAtMs) });
   }
 
@@ -443,9 +443,9 @@
       metrics,
       share: () => this.slotShare(),
       draw: (question) => this.drawSlot(question),
-      sentLately: (id) => this.fleet.sentLately(id, clock.nowMs()),
+      recentSends: (id) => this.fleet.recentSends(id, clock.nowMs()),
       heard: () => this.reporter.reportSoon(),
-      leaves: (id) => {
+      upstreamLeaving: (id) => {
         const state = this.fleet.get(id);
         if (state) this.upstream(state.info);
       },
@@ -458,20 +458,20 @@
     return this.orderLease.isHolder() ? rateRules.lapsedShare : 0;
   }
 
-  private async drawSlot(question: SlotQuestion): Promise<SlotAnswer | undefined> {
+  private async drawSlot(question: SlotRequest): Promise<SlotAnswer | undefined> {
     if (this.orderLease.isHolder()) return this.gate.answer(question);
     const address = this.orderLease.holderAddress();
     return address === undefined ? undefined : this.peers.slot(address, question);
   }
 
-  private poisonDesk(): PoisonDesk {
+  private poisonDesk(): PoisonGuard {
     const { settings, clock, log, metrics, feed } = this.context;
-    return new PoisonDesk({
+    return new PoisonGuard({
       host: settings.host,
       clock,
       log,
       metrics,
-      keepMs: settings.poisonKeepMs,
+      verdictValidMs: settings.poisonKeepMs,
       prefix: this.poisonPrefix,
       swap: async (swap) => {
         const outcome = await feed.swap(swap);
@@ -480,14 +480,14 @@
         return isUndone ? this.relay(swap) : outcome;
       },
       isHolder: () => this.orderLease.isHolder(),
-      askHolder: async (question) => {
+      requestTrial: async (question) => {
         const address = this.orderLease.holderAddress();
         return address === undefined ? undefined : this.peers.trial(address, question);
       },
-      tellSoon: () => this.reporter.reportSoon(),
-      upstreamCount: (service) => [...this.fleet.of(service)].length,
+      reportSoon: () => this.reporter.reportSoon(),
+      upstreamCount: (service) => [...this.fleet.upstreamsOf(service)].length,
       isListed: (id) => {
-        const isFresh = this.follower.steadyMs() > poisonLimits.leavesListMs;
+        const isFresh = this.follower.steadyMs() > poisonLimits.listLapseMs;
         return isFresh ? this.fleet.get(id) !== undefined : undefined;
       },
     });
@@ -501,7 +501,7 @@
     return Promise.resolve(result.Err({ type: 'store-unavailable' as const, detail }));
   }
 
-  private async askHolder(need: Need): Promise<FindAnswer | undefined> {
+  private async askHolder(need: Target): Promise<FindAnswer | undefined> {
     if (this.orderLease.isHolder()) return this.dispatcher.find(need);
     const address = this.orderLease.holderAddress();
     if (address === undefined) return undefined;
@@ -509,7 +509,7 @@
     return found?.type === 'not-holder' ? undefined : found;
   }
 
-  private async draw(question: DrawQuestion): Promise<DrawAnswer | undefined> {
+  private async draw(question: DrawRequest): Promise<DrawAnswer | undefined> {
     if (this.orderLease.isHolder()) return this.quotaBook.draw(question);
     const address = this.orderLease.holderAddress();
     return address === undefined ? undefined : this.peers.draw(address, question);
@@ -531,7 +531,7 @@
   /** Returns the number of entries; a new holder uses at least the recorded one until all have reported to it. */
   private knownCount(): number {
     const heard = this.entries.count(this.clock.nowMs());
-    return this.quotaBook.knowsAll()
+    return this.quotaBook.knowsAllEntries()
       ? heard
       : Math.max(heard, this.orderLease.recordedEntries?.count ?? 0);
   }
--- a/src/direct/intake/index.ts
+++ b/src/direct/intake/index.ts
@@ -1,4 +1,4 @@
-/** What comes before a request is run: whether it may be, whose it is, and whether its quota bears it. */
+/** Admission of requests: checks the route, the key and the customer's quota before a request is run. */
 export type { Admitted } from './admitted.js';
 export { Intake } from './intake.js';
 export { quotaRefusal } from './quotarefusal.js';
--- a/src/direct/intake/intake.ts
+++ b/src/direct/intake/intake.ts
@@ -1,30 +1,30 @@
 import type { CustomerSpec } from '../../core/access/index.js';
 import type { Caller } from '../caller.js';
-import { Charge, type Taken } from '../quota/index.js';
+import { Charge, type PaymentResult } from '../quota/index.js';
 import type { Refusal } from '../refusal.js';
 import type { Serving } from '../serving.js';
 import type { Admitted } from './admitted.js';
 import { quotaRefusal } from './quotarefusal.js';
 
-/** The configuration is read within about this, or another entry has read it. */
-const NO_TABLE_COME_BACK_MS = 250;
+/** The configuration is read within about this time, or the retry reaches another entry that has read it. */
+const NO_TABLE_RETRY_AFTER_MS = 250;
 
 const REFUSALS = {
   'no-configuration': {
     status: 503,
     detail: 'This entry knows no configuration yet.',
-    retryAfterMs: NO_TABLE_COME_BACK_MS,
+    retryAfterMs: NO_TABLE_RETRY_AFTER_MS,
   },
   outdated: {
     status: 503,
     detail: 'The configuration that this entry knows may be outdated.',
-    retryAfterMs: NO_TABLE_COME_BACK_MS,
+    retryAfterMs: NO_TABLE_RETRY_AFTER_MS,
   },
   'route-unknown': { status: 404, detail: 'No route takes this host and path.' },
   'key-unknown': { status: 401, detail: 'No customer has this key.' },
 } as const;
 
-/** Decides at once, or after one question to the holder of quotas, whether a request is run. */
+/** Decides whether a request is run, at once or after asking the quota holder. */
 export class Intake {
   private isOver = false;
 
@@ -57,13 +57,13 @@
     } else this.decide(paid, admitted);
   }
 
-  /** The process is about to end: what is not decided is refused. */
+  /** Refuses the request if it is not decided yet: the process is about to end. */
   endNow(): void {
     const detail = 'This entry is about to end.';
     this.refuse({ status: 503, type: 'stopping', detail, executed: 'no', retryAfterMs: 0 });
   }
 
-  private decide(taken: Taken, admitted: Admitted): void {
+  private decide(taken: PaymentResult, admitted: Admitted): void {
     if (this.isOver) return;
     if (taken.type === 'refused') {
       this.refuse(quotaRefusal(taken), admitted.customer, taken);
@@ -81,7 +81,7 @@
   private refuse(
     refusal: Refusal,
     customer?: CustomerSpec,
-    taken?: Extract<Taken, { readonly type: 'refused' }>,
+    taken?: Extract<PaymentResult, { readonly type: 'refused' }>,
   ): void {
     if (this.isOver) return;
     const { caller, serving, charge } = this;
--- a/src/direct/intake/quotarefusal.ts
+++ b/src/direct/intake/quotarefusal.ts
@@ -1,7 +1,7 @@
-import type { Taken } from '../quota/index.js';
+import type { PaymentResult } from '../quota/index.js';
 import type { Refusal } from '../refusal.js';
 
-type Refused = Extract<Taken, { readonly type: 'refused' }>;
+type Refused = Extract<PaymentResult, { readonly type: 'refused' }>;
 
 const REFUSALS: Readonly<Record<Refused['reason'], Omit<Refusal, 'executed'>>> = {
   over: {
@@ -9,7 +9,7 @@
     type: 'over-quota',
     detail: 'Requests of this customer have reached its limit.',
   },
-  // Nothing says that the limit is reached: another entry may know that it is not.
+  // The quota need not be used up: another entry may know that it is not.
   unknown: {
     status: 503,
     type: 'quota-unknown',
@@ -17,7 +17,7 @@
   },
 };
 
-/** What a caller is told whose request the quota does not bear; it has not run. */
+/** Returns the refusal of a request that its customer's quota does not cover; the request has not run. */
 export function quotaRefusal({ reason, retryAfterMs }: Refused): Refusal {
   return { ...REFUSALS[reason], executed: 'no', retryAfterMs };
 }
--- a/src/direct/orders/demandanswer.ts
+++ b/src/direct/orders/demandanswer.ts
@@ -1,6 +1,6 @@
 import type { SuspectBatch } from '../poison/index.js';
 import type { QuotaAnswer } from '../quota/index.js';
-import type { StandingNews } from '../selfreport/index.js';
+import type { ReportedStateUpdate } from '../selfreport/index.js';
 import type { ResidencyUpdate } from './residencyupdate.js';
 
 /** The order lease holder's answer to an entry's demand report. */
@@ -14,5 +14,5 @@
   /** Absent while the holder may not grant quota. */
   readonly quota?: QuotaAnswer;
   /** Upstreams' reported states as the holder knows them. */
-  readonly standings?: readonly StandingNews[];
+  readonly standings?: readonly ReportedStateUpdate[];
 }
--- a/src/direct/orders/demandmeter.ts
+++ b/src/direct/orders/demandmeter.ts
@@ -1,5 +1,5 @@
 import type { ModelId, Ms, ServiceId, UpstreamId } from '../../base/index.js';
-import type { Need } from '../route/index.js';
+import type { Target } from '../route/index.js';
 import type { DemandReport } from './demandreport.js';
 import type { ResidencyCursor } from './residencycursor.js';
 
@@ -25,7 +25,7 @@
     private readonly address: string,
   ) {}
 
-  arrived(need: Need): void {
+  arrived(need: Target): void {
     const counts = this.countsOf(need);
     if (!counts) return;
     counts.arrivals += 1;
@@ -33,25 +33,25 @@
   }
 
   /** Counts a request that was sent to an upstream. */
-  began(need: Need): void {
+  began(need: Target): void {
     this.changed(need, 1);
   }
 
   /** Counts a request that ended after `tookMs` at an upstream. */
-  ended(need: Need, tookMs: Ms): void {
+  ended(need: Target, tookMs: Ms): void {
     const counts = this.changed(need, -1);
     if (!counts) return;
     counts.ended += 1;
     counts.endedMs += tookMs;
   }
 
-  private changed(need: Need, change: 1 | -1): Counts | undefined {
+  private changed(need: Target, change: 1 | -1): Counts | undefined {
     const counts = this.countsOf(need);
     if (counts) this.change(counts, need, change);
     return counts;
   }
 
-  private change(counts: Counts, { adapter }: Need, change: 1 | -1): void {
+  private change(counts: Counts, { adapter }: Target, change: 1 | -1): void {
     const target = counts;
     target.running += change;
     if (adapter === undefined) return;
@@ -60,7 +60,7 @@
     else counts.runningByAdapter.delete(adapter);
   }
 
-  waiting(need: Need, change: 1 | -1): void {
+  waiting(need: Target, change: 1 | -1): void {
     const counts = this.countsOf(need);
     if (counts) counts.waiting += change;
   }
@@ -94,7 +94,7 @@
     return { entry: this.entry, address: this.address, models, lost, heard };
   }
 
-  private countsOf({ service, model }: Need): Counts | undefined {
+  private countsOf({ service, model }: Target): Counts | undefined {
     if (model === undefined) return undefined;
     const key = `${service}/${model}`;
     let counts = this.counts.get(key);
--- a/src/direct/orders/demandreport.ts
+++ b/src/direct/orders/demandreport.ts
@@ -1,7 +1,7 @@
 import type { ModelId, Ms, ServiceId, UpstreamId } from '../../base/index.js';
 import type { PoisonReport } from '../poison/index.js';
 import type { QuotaReport } from '../quota/index.js';
-import type { StandingNews } from '../selfreport/index.js';
+import type { ReportedStateUpdate } from '../selfreport/index.js';
 import type { ResidencyCursor } from './residencycursor.js';
 
 /** One entry's counts for one model since its last report. */
@@ -38,5 +38,5 @@
   /** Absent where no customers are configured. */
   readonly quota?: QuotaReport;
   /** Upstreams' reported states; absent from an entry that does not evaluate them. */
-  readonly standings?: readonly StandingNews[];
+  readonly standings?: readonly ReportedStateUpdate[];
 }
--- a/src/direct/orders/orderdispatcher.ts
+++ b/src/direct/orders/orderdispatcher.ts
@@ -3,7 +3,7 @@
 import type { RouteTable, ServiceSpec } from '../../core/routetable/index.js';
 import type { Upstream } from '../../core/upstreams/index.js';
 import type { Log, Metrics, UpstreamLink } from '../../port/index.js';
-import type { Need } from '../route/index.js';
+import type { Target } from '../route/index.js';
 import { AdapterLoader } from './adapterloader.js';
 import { adoptModels } from './adoptmodels.js';
 import { DemandEstimator } from './demandestimator.js';
@@ -213,7 +213,7 @@
   }
 
   /** Finds an upstream for a target, loading an adapter if necessary; else returns when to ask again. */
-  async find(need: Need): Promise<FindAnswer> {
+  async find(need: Target): Promise<FindAnswer> {
     const { lease, clock } = this.options;
     if (!lease.isHolder()) return { type: 'not-holder' };
     const { service, model, adapter } = need;
@@ -266,7 +266,7 @@
   }
 
   /** Plans at once for a model without a replica, so that the answer can contain when it will be loaded. */
-  private later({ service, model }: Need): FindAnswer {
+  private later({ service, model }: Target): FindAnswer {
     const nowMs = this.options.clock.nowMs();
     const engine = this.table?.services.get(service)?.engine;
     const isBeingMoved = this.mover.expectedAtMs(service, model) !== undefined;
--- a/src/direct/orders/peers.ts
+++ b/src/direct/orders/peers.ts
@@ -3,28 +3,28 @@
 import type { ChangeFeed, Log, StoreFailure, Swap, SwapOutcome } from '../../port/index.js';
 import { callOnce, Channel } from '../../shell/http1/index.js';
 import type { Suspect } from '../../core/poison/index.js';
-import type { TrialQuestion } from '../poison/index.js';
-import type { CustomerState, DrawAnswer, DrawQuestion } from '../quota/index.js';
-import type { Need } from '../route/index.js';
-import type { SlotAnswer, SlotQuestion } from '../selfreport/index.js';
+import type { TrialRequest } from '../poison/index.js';
+import type { CustomerState, DrawAnswer, DrawRequest } from '../quota/index.js';
+import type { Target } from '../route/index.js';
+import type { SlotAnswer, SlotRequest } from '../selfreport/index.js';
 import type { DemandAnswer } from './demandanswer.js';
 import type { DemandReport } from './demandreport.js';
 import type { FindAnswer } from './findanswer.js';
 
 /** Requests that other entries may send to this one. */
 interface PeerHandlers {
-  find(need: Need): Promise<FindAnswer>;
+  find(need: Target): Promise<FindAnswer>;
   demand(report: DemandReport): DemandAnswer;
   /** Returns the store's changes after a revision, waiting for one for at most `waitMs`. */
   changes(question: ChangesRequest): ReturnType<ChangeFeed['changes']>;
   /** Performs a write for an entry that cannot reach the store. */
   swap(swap: Swap): ReturnType<ChangeFeed['swap']>;
   /** Grants tokens of a customer's quota for one request. */
-  draw(question: DrawQuestion): DrawAnswer;
+  draw(question: DrawRequest): DrawAnswer;
   /** Grants a slot: a time at which a request may be sent to an upstream with a rate limit. */
-  slot(question: SlotQuestion): Promise<SlotAnswer>;
+  slot(question: SlotRequest): Promise<SlotAnswer>;
   /** True if a suspected query of death may run as a trial at another entry now. */
-  trial(question: TrialQuestion): boolean;
+  trial(question: TrialRequest): boolean;
   /** Returns customers, their limits and their use, for an operator. */
   customers(): readonly CustomerState[] | undefined;
   /** Returns suspected queries of death, for an operator. */
@@ -123,7 +123,7 @@
   }
 
   /** Returns undefined if the entry does not answer. */
-  async find(address: string, need: Need): Promise<FindAnswer | undefined> {
+  async find(address: string, need: Target): Promise<FindAnswer | undefined> {
     return (await this.ask(address, PATHS.find, need, FIND_TIMEOUT_MS)) as FindAnswer | undefined;
   }
 
@@ -134,19 +134,19 @@
   }
 
   /** Returns undefined if the entry does not answer. */
-  async trial(address: string, question: TrialQuestion): Promise<boolean | undefined> {
+  async trial(address: string, question: TrialRequest): Promise<boolean | undefined> {
     const answer = await this.ask(address, PATHS.trial, question, TRIAL_TIMEOUT_MS);
     return (answer as { mayRun: boolean } | undefined)?.mayRun;
   }
 
   /** Returns undefined if the entry does not answer. */
-  async draw(address: string, question: DrawQuestion): Promise<DrawAnswer | undefined> {
+  async draw(address: string, question: DrawRequest): Promise<DrawAnswer | undefined> {
     const answer = await this.ask(address, PATHS.draw, question, DRAW_TIMEOUT_MS);
     return answer as DrawAnswer | undefined;
   }
 
   /** Returns undefined if the entry does not answer. */
-  async slot(address: string, question: SlotQuestion): Promise<SlotAnswer | undefined> {
+  async slot(address: string, question: SlotRequest): Promise<SlotAnswer | undefined> {
     const answer = await this.ask(address, PATHS.slot, question, question.waitMs + DRAW_TIMEOUT_MS);
     return answer as SlotAnswer | undefined;
   }
@@ -217,7 +217,7 @@
   }
 
   private async handle(path: string, body: unknown): Promise<object | undefined> {
-    if (path === PATHS.find) return this.handlers.find(body as Need);
+    if (path === PATHS.find) return this.handlers.find(body as Target);
     if (path === PATHS.swap) {
       const answer = await this.handlers.swap(body as Swap);
       return answer.ok ? { ok: true, outcome: answer.val } : { ok: false, failure: answer.val };
@@ -226,10 +226,10 @@
       const answer = await this.handlers.changes(body as ChangesRequest);
       return answer.ok ? { ok: true, changes: answer.val } : { ok: false, failure: answer.val };
     }
-    if (path === PATHS.draw) return this.handlers.draw(body as DrawQuestion);
-    if (path === PATHS.slot) return this.handlers.slot(body as SlotQuestion);
+    if (path === PATHS.draw) return this.handlers.draw(body as DrawRequest);
+    if (path === PATHS.slot) return this.handlers.slot(body as SlotRequest);
     if (path === PATHS.customers) return { customers: this.handlers.customers() ?? [] };
-    if (path === PATHS.trial) return { mayRun: this.handlers.trial(body as TrialQuestion) };
+    if (path === PATHS.trial) return { mayRun: this.handlers.trial(body as TrialRequest) };
     if (path === PATHS.suspects) return { suspects: this.handlers.suspects() };
     if (path === PATHS.lift) {
       return { isLifted: this.handlers.lift((body as { content: ContentId }).content) };
--- a/src/direct/poison/decodesuspects.ts
+++ b/src/direct/poison/decodesuspects.ts
@@ -24,15 +24,15 @@
 }
 
 /**
- * Reads a record of the store; undefined if it is not wholly one. All entries read each record: one that they took
- * as it comes could end them all.
+ * Decodes a record of the store. Returns undefined if any part of it is malformed: every entry reads every record, so
+ * a malformed one that was accepted could crash all entries.
  */
 export function decodeSuspects(text: string): readonly Suspect[] | undefined {
   try {
     const { suspects } = JSON.parse(text) as { suspects?: (Partial<Suspect> | null)[] };
     return Array.isArray(suspects) && suspects.every(isSuspect) ? suspects : undefined;
   } catch {
-    // Not JSON, or no object: the caller logs what it found unreadable.
+    // Not JSON, or not an object: the caller logs it.
     return undefined;
   }
 }
--- a/src/direct/poison/index.ts
+++ b/src/direct/poison/index.ts
@@ -1,6 +1,6 @@
-/** Requests that end the upstreams that run them: found out, told to all entries, kept, refused. */
-export { PoisonDesk } from './poisondesk.js';
+/** Detects requests that crash upstreams, shares and stores what is known of them, and refuses them. */
+export { PoisonGuard } from './poisonguard.js';
 export { poisonLimits } from './poisonlimits.js';
 export type { PoisonReport } from './poisonreport.js';
 export type { SuspectBatch } from './suspectbatch.js';
-export type { TrialQuestion } from './trialquestion.js';
+export type { TrialRequest } from './trialrequest.js';
--- a/src/direct/poison/poisonlimits.ts
+++ b/src/direct/poison/poisonlimits.ts
@@ -1,18 +1,18 @@
-/** Bounds of what is kept about requests that may end upstreams. */
+/** Bounds of what is kept about requests that may crash upstreams. */
 export const poisonLimits = {
-  /** An upstream that crashed leaves the list after three missed entries, 3.6 s, and the list's lag. */
-  leavesListMs: 6000,
+  /** A crashed upstream leaves the list after three missed renewals (3.6 s) and the propagation delay of the list. */
+  listLapseMs: 6000,
   /**
-   * Requests that are kept in mind; the one that changed longest ago goes first. Each takes 0.5 kB (heap, 4,000 of them), and each end of
-   * an upstream adds about a dozen.
+   * Requests that are kept; the one that changed longest ago is evicted first. Each takes 0.5 kB of heap (at 4,000
+   * requests), and each crash of an upstream adds about a dozen.
    */
-  mostSuspects: 4000,
-  /** Verdicts that are kept; each has cost two upstreams at least. */
-  mostPoison: 1000,
-  /** One that nothing speaks against any more is kept this long, so that all entries hear of it. */
-  clearedKeptMs: 60_000,
-  /** Under which one upstream ended: kept as long as a caller may take to come back to it. */
-  suspectKeptMs: 3_600_000,
-  /** Requests told of in one message: 51 kB of JSON. */
-  mostInBatch: 200,
+  maxSuspects: 4000,
+  /** Poison verdicts that are kept; each has cost at least two upstreams. */
+  maxPoison: 1000,
+  /** A cleared request is kept this long, so that all entries learn that it was cleared. */
+  clearedRetentionMs: 60_000,
+  /** A suspected request is kept for as long as a caller may take to retry it. */
+  suspectRetentionMs: 3_600_000,
+  /** Requests in one message: 51 kB of JSON. */
+  maxBatchSize: 200,
 } as const;
--- a/src/direct/poison/poisonreport.ts
+++ b/src/direct/poison/poisonreport.ts
@@ -1,10 +1,10 @@
 import type { SuspectBatch } from './suspectbatch.js';
-import type { SuspectMark } from './suspectmark.js';
+import type { SuspectCursor } from './suspectcursor.js';
 
-/** What an entry tells the holder of orders about suspected requests. */
+/** What an entry reports to the order lease holder about suspected requests. */
 export interface PoisonReport {
-  /** How far the entry has heard of what the holder knows. */
-  readonly heard: SuspectMark | undefined;
-  /** What the holder has not heard from the entry yet; absent if there is nothing. */
+  /** How much of the holder's table the entry has received. */
+  readonly heard: SuspectCursor | undefined;
+  /** Changes that the holder has not acknowledged yet; absent if there are none. */
   readonly news?: SuspectBatch;
 }
--- a/src/direct/poison/suspectbatch.ts
+++ b/src/direct/poison/suspectbatch.ts
@@ -1,7 +1,7 @@
 import type { Suspect } from '../../core/poison/index.js';
-import type { SuspectMark } from './suspectmark.js';
+import type { SuspectCursor } from './suspectcursor.js';
 
-/** What has changed in an entry's memory, up to its mark. */
-export interface SuspectBatch extends SuspectMark {
+/** Changes in an entry's suspect table, up to the cursor that comes with them. */
+export interface SuspectBatch extends SuspectCursor {
   readonly suspects: readonly Suspect[];
 }
--- a/src/direct/poison/poisonstore.ts
+++ b/src/direct/poison/suspectstore.ts
@@ -2,61 +2,61 @@
 import type { Suspect } from '../../core/poison/index.js';
 import type { ChangeFeed, KeyValue, Log, Swap } from '../../port/index.js';
 import { decodeSuspects } from './decodesuspects.js';
-import type { PoisonBook } from './poisonbook.js';
+import type { SuspectTable } from './suspecttable.js';
 
-/** What the store says of the end of one upstream. */
+/** The record that the store holds of one upstream's crash. */
 interface Stored {
   readonly revision: Revision;
-  /** Requests that ran there and that nothing has cleared. */
+  /** Requests that ran there and have not been cleared. */
   readonly contents: ReadonlySet<ContentId>;
 }
 
-/** When a record is looked at next. */
+/** When a record is checked next. */
 interface Due {
   readonly atMs: Ms;
-  /** It is written then also if it only has too much. */
+  /** Writes the record then even if the only change is that requests have to be removed. */
   readonly isRemoval: boolean;
 }
 
-/** Options of a poison store. */
-interface PoisonStoreOptions {
-  readonly book: PoisonBook;
-  /** Keys of the records begin so. */
+interface SuspectStoreOptions {
+  readonly book: SuspectTable;
+  /** Prefix of the records' keys. */
   readonly prefix: string;
   readonly log: Log;
   swap(swap: Swap): ReturnType<ChangeFeed['swap']>;
 }
 
 /**
- * All entries have told the holder what they saw by then, and connections that broke at an upstream that goes on
- * are explained: one write for each end.
+ * By then all entries have reported to the holder, and connections that broke at an upstream that is still running are
+ * explained, so that each crash takes one write.
  */
 const GATHER_MS = 300;
-/** Without a holder of orders the entries write themselves what they saw; a new one is there after 2.6 s. */
+/** Without an order lease holder the entries write what they saw themselves; a new holder takes over after 2.6 s. */
 const OTHERS_GATHER_MS = 1500;
-/** Requests are cleared one by one as their callers come back: one write for all of them. */
+/** Requests are cleared one by one as their callers retry: waiting this long gathers them into one write. */
 const REMOVE_AFTER_MS = 10_000;
-/** The store answers in milliseconds, or it is down, or turns this entry away, for seconds: each call is paid for. */
+/** The store answers within milliseconds, or is down or rejects this entry for seconds; and each call is billed. */
 const RETRY_MS = 2000;
-/** Twice the requests that an upstream runs at once; those that had run longest are left out beyond that. */
-const MOST_RUNS = 64;
+/** Twice the number of requests that an upstream runs at once; beyond it the longest runs are left out. */
+const MAX_RUNS = 64;
 const ABSENT = 0 as Revision;
 
 /**
- * Ends of upstreams with the requests that ran there, one record each, as the store keeps them: what is known of a
- * request outlives all entries. With records of requests under which two had ended, entries that were all killed
- * each quarter of a minute sent one on four times in place of three (one of the first 187 seeds of the test world).
+ * Crashes of upstreams with the requests that ran there, one record for each crash, in the store: so what is known of
+ * a request outlives all entries. Records of single requests, written from the second crash on, were not enough:
+ * when all entries were killed every 15 s, a crashing request ran four times instead of three (in one of 187 seeds of
+ * the simulation).
  */
-export class PoisonStore {
+export class SuspectStore {
   private readonly stored = new Map<UpstreamId, Stored>();
 
   private readonly due = new Map<UpstreamId, Due>();
 
   private isWriting = false;
 
-  constructor(private readonly options: PoisonStoreOptions) {}
+  constructor(private readonly options: SuspectStoreOptions) {}
 
-  /** What is known of a request that ran at these upstreams has changed. */
+  /** Schedules writes of the records that mention a request: what is known of it has changed. */
   changed({ crashes }: Suspect, nowMs: Ms, isHolder: boolean): void {
     const atMs = nowMs + (isHolder ? GATHER_MS : OTHERS_GATHER_MS);
     for (const { upstream } of crashes) {
@@ -70,17 +70,17 @@
     if (this.isWriting) return;
     for (const [upstream, { atMs, isRemoval }] of this.due) {
       if (nowMs < atMs) continue;
-      const { isShort, isLong } = this.difference(upstream);
-      if (isShort || (isLong && isRemoval)) {
+      const { isIncomplete, hasSurplus } = this.difference(upstream);
+      if (isIncomplete || (hasSurplus && isRemoval)) {
         void this.write(upstream, nowMs);
         return;
       }
-      if (isLong) this.due.set(upstream, { atMs: nowMs + REMOVE_AFTER_MS, isRemoval: true });
+      if (hasSurplus) this.due.set(upstream, { atMs: nowMs + REMOVE_AFTER_MS, isRemoval: true });
       else this.due.delete(upstream);
     }
   }
 
-  /** A record as the store tells it. What has gone from it was cleared by whoever wrote it. */
+  /** Takes in a record from the store. A request that is missing from the new version was cleared by its writer. */
   heard(key: string, item: KeyValue | undefined, nowMs: Ms): void {
     const { book, prefix, log } = this.options;
     const upstream = key.slice(prefix.length) as UpstreamId;
@@ -95,30 +95,30 @@
     if (item) this.stored.set(upstream, { revision: item.revision, contents });
     else this.stored.delete(upstream);
     for (const content of known?.contents ?? []) {
-      if (!contents.has(content)) book.absolve(content, upstream, nowMs);
+      if (!contents.has(content)) book.clearCrash(content, upstream, nowMs);
     }
     for (const suspect of suspects) book.add(suspect, nowMs);
   }
 
-  /** Whether the record of an upstream lacks a request, or has one too many. */
+  /** Compares an upstream's record with its desired content: whether it lacks requests, or only has too many. */
   private difference(upstream: UpstreamId): {
-    readonly isShort: boolean;
-    readonly isLong: boolean;
+    readonly isIncomplete: boolean;
+    readonly hasSurplus: boolean;
   } {
     const wanted = this.wanted(upstream);
     const has = this.stored.get(upstream)?.contents ?? new Set<ContentId>();
-    const isShort = wanted.some(({ content }) => !has.has(content));
-    return { isShort, isLong: !isShort && wanted.length < has.size };
+    const isIncomplete = wanted.some(({ content }) => !has.has(content));
+    return { isIncomplete, hasSurplus: !isIncomplete && wanted.length < has.size };
   }
 
-  /** What the record of an upstream's end should hold: each request with this end alone. */
+  /** Returns the desired content of an upstream's record: its suspects, each with the crash on this upstream only. */
   private wanted(upstream: UpstreamId): readonly Suspect[] {
-    const alone = this.options.book.at(upstream).map((suspect) => ({
+    const ownCrashOnly = this.options.book.at(upstream).map((suspect) => ({
       ...suspect,
       crashes: suspect.crashes.filter((crash) => crash.upstream === upstream),
     }));
-    alone.sort((a, b) => a.crashes[0]!.runMs - b.crashes[0]!.runMs);
-    return alone.slice(0, MOST_RUNS);
+    ownCrashOnly.sort((a, b) => a.crashes[0]!.runMs - b.crashes[0]!.runMs);
+    return ownCrashOnly.slice(0, MAX_RUNS);
   }
 
   private async write(upstream: UpstreamId, nowMs: Ms): Promise<void> {
@@ -129,18 +129,18 @@
     const expectedRevision = this.stored.get(upstream)?.revision ?? ABSENT;
     const value = suspects.length === 0 ? undefined : JSON.stringify({ suspects });
     this.due.set(upstream, { atMs: nowMs + RETRY_MS, isRemoval: true });
-    const said = await swap({ key, expectedRevision, value });
+    const swapped = await swap({ key, expectedRevision, value });
     this.isWriting = false;
-    if (said.err) {
-      log.warn('poison record not written', { upstream, failure: said.val.type });
+    if (swapped.err) {
+      log.warn('poison record not written', { upstream, failure: swapped.val.type });
       return;
     }
-    if (said.val.type === 'conflict') {
-      // Another entry has written meanwhile: what both know is written next.
-      this.heard(key, said.val.current, nowMs);
+    if (swapped.val.type === 'conflict') {
+      // Another entry has written meanwhile: the merged record is written next.
+      this.heard(key, swapped.val.current, nowMs);
       return;
     }
-    const { revision } = said.val;
+    const { revision } = swapped.val;
     log.info('poison record written', { upstream, requests: suspects.length, revision });
     const contents = new Set(suspects.map(({ content }) => content));
     if (value === undefined) this.stored.delete(upstream);
--- a/src/direct/poison/poisonbook.ts
+++ b/src/direct/poison/suspecttable.ts
@@ -10,37 +10,37 @@
 } from '../../core/poison/index.js';
 import { poisonLimits } from './poisonlimits.js';
 import type { SuspectBatch } from './suspectbatch.js';
-import type { SuspectMark } from './suspectmark.js';
+import type { SuspectCursor } from './suspectcursor.js';
 
-/** One request with what this entry needs to keep it. */
-interface Kept {
+/** One suspected request, with its verdict and the number and time of its last change. */
+interface TrackedSuspect {
   readonly suspect: Suspect;
   readonly verdict: Verdict;
   readonly index: number;
   readonly changedAtMs: Ms;
 }
 
-/** A change that entries should know of: `before` is what was thought until now. */
-type Changed = (suspect: Suspect, verdict: Verdict, before: Verdict) => void;
+/** Called after each change; `before` is the verdict until then. */
+type OnChange = (suspect: Suspect, verdict: Verdict, before: Verdict) => void;
 
-const FORGETS: Readonly<Record<Verdict, Ms>> = {
-  sound: poisonLimits.clearedKeptMs,
-  suspect: poisonLimits.suspectKeptMs,
+const RETENTION_MS: Readonly<Record<Verdict, Ms>> = {
+  sound: poisonLimits.clearedRetentionMs,
+  suspect: poisonLimits.suspectRetentionMs,
   poison: Infinity,
 };
 
 /**
- * What this entry knows of requests under which upstreams ended. Entries merge what they know in any order; each
- * change has a number, so that another one can be told what is new since it last heard.
+ * The requests under which upstreams crashed, as far as this entry knows. Entries merge their tables in any order.
+ * Each change has a number, so that another entry can be sent only what has changed since its cursor.
  */
-export class PoisonBook {
-  /** In the order of their last change. */
-  private readonly kept = new Map<ContentId, Kept>();
+export class SuspectTable {
+  /** Ordered by last change, oldest first. */
+  private readonly kept = new Map<ContentId, TrackedSuspect>();
 
-  /** When this entry learned of an upstream's end that is not explained yet. */
+  /** When this entry learned of each crash that is still open. */
   private readonly open = new Map<UpstreamId, Ms>();
 
-  /** Requests that seemed to end an upstream, by it. */
+  /** Requests that ran on an upstream when it seemed to crash. */
   private readonly byUpstream = new Map<UpstreamId, Set<ContentId>>();
 
   private index = 0;
@@ -48,9 +48,9 @@
   private poisonCount = 0;
 
   constructor(
-    /** Tells this memory from that of an earlier or another process. */
+    /** Identifies this table among those of other and earlier processes. */
     private readonly name: string,
-    private readonly changed: Changed,
+    private readonly changed: OnChange,
   ) {}
 
   get isEmpty(): boolean {
@@ -73,10 +73,10 @@
     return [...this.kept.values()].map(({ suspect }) => suspect);
   }
 
-  /** Adds what this entry saw or another one told. Returns true if anything was new. */
-  add(told: Suspect, nowMs: Ms): boolean {
-    const known = this.kept.get(told.content);
-    const suspect = merge(known?.suspect, told);
+  /** Merges what this entry saw or another one reported. Returns true if anything was new. */
+  add(reported: Suspect, nowMs: Ms): boolean {
+    const known = this.kept.get(reported.content);
+    const suspect = merge(known?.suspect, reported);
     if (suspect === known?.suspect) return false;
     const verdict = judge(suspect);
     const before = known?.verdict ?? 'sound';
@@ -84,26 +84,26 @@
     this.poisonCount += Number(verdict === 'poison') - Number(before === 'poison');
     this.kept.delete(suspect.content);
     this.kept.set(suspect.content, { suspect, verdict, index: this.index, changedAtMs: nowMs });
-    this.notePlaces(suspect, nowMs);
-    this.makeRoom();
+    this.indexUpstreams(suspect, nowMs);
+    this.evict();
     this.changed(suspect, verdict, before);
     return true;
   }
 
-  /** The same request ran well, or an operator wants it tried again. Returns true if it was suspected. */
+  /** Clears a request that completed, or that an operator wants retried. Returns true if it was suspected. */
   clear(content: ContentId, nowMs: Ms): boolean {
     const suspect = this.kept.get(content)?.suspect;
-    return suspect !== undefined && this.mark(suspect, () => 'cleared', nowMs);
+    return suspect !== undefined && this.update(suspect, () => 'cleared', nowMs);
   }
 
-  /** One end is no longer held against a request. */
-  absolve(content: ContentId, upstream: UpstreamId, nowMs: Ms): void {
+  /** Clears one crash of a request. */
+  clearCrash(content: ContentId, upstream: UpstreamId, nowMs: Ms): void {
     const suspect = this.kept.get(content)?.suspect;
-    const turn = (crash: Crash) => (crash.upstream === upstream ? 'cleared' : crash.state);
-    if (suspect) this.mark(suspect, turn, nowMs);
+    const nextState = (crash: Crash) => (crash.upstream === upstream ? 'cleared' : crash.state);
+    if (suspect) this.update(suspect, nextState, nowMs);
   }
 
-  /** Requests that ran at an upstream when it ended, and that nothing has cleared of that. */
+  /** Returns the requests for which the crash of this upstream still counts. */
   at(upstream: UpstreamId): Suspect[] {
     const suspects: Suspect[] = [];
     for (const content of this.byUpstream.get(upstream) ?? []) {
@@ -114,31 +114,31 @@
     return suspects;
   }
 
-  /** An upstream answered what was sent to it at that time: whatever broke off there before, it has not ended. */
+  /** An upstream answered a request sent at `sentAtMs`: connections that broke before then were no crash. */
   answered(upstream: UpstreamId, sentAtMs: Ms, nowMs: Ms): void {
     const openAtMs = this.open.get(upstream);
     if (openAtMs !== undefined && openAtMs < sentAtMs) this.settle(upstream, 'explained', nowMs);
   }
 
-  /** What has become clear of an upstream that seemed to end. */
+  /** Settles an open crash: the upstream is either gone, or its lost connections have another explanation. */
   settle(upstream: UpstreamId, state: 'explained' | 'ended', nowMs: Ms): void {
     if (!this.open.delete(upstream)) return;
-    const turn = (crash: Crash) =>
+    const nextState = (crash: Crash) =>
       crash.upstream === upstream && crash.state === 'open' ? state : crash.state;
-    for (const suspect of this.at(upstream)) this.mark(suspect, turn, nowMs);
+    for (const suspect of this.at(upstream)) this.update(suspect, nextState, nowMs);
   }
 
-  /** Upstreams whose end has been open for so long that the list would have told of it. */
+  /** Returns upstreams whose crash has been open for longer than a crashed upstream stays in the list. */
   overdue(nowMs: Ms): UpstreamId[] {
     const ids: UpstreamId[] = [];
     for (const [id, atMs] of this.open) {
-      if (nowMs - atMs > poisonLimits.leavesListMs) ids.push(id);
+      if (nowMs - atMs > poisonLimits.listLapseMs) ids.push(id);
     }
     return ids;
   }
 
-  /** Other upstreams that seemed to end after a time. */
-  endsSince(sinceMs: Ms, except: UpstreamId): number {
+  /** Returns the number of other upstreams that seemed to crash since a point in time. */
+  crashesSince(sinceMs: Ms, except: UpstreamId): number {
     const ids = new Set<UpstreamId>();
     for (const { suspect, changedAtMs } of this.kept.values()) {
       if (changedAtMs < sinceMs) continue;
@@ -149,31 +149,31 @@
     return ids.size;
   }
 
-  /** What is new since a mark, at most as much as one message takes. */
-  since(mark: SuspectMark | undefined): SuspectBatch {
-    const from = mark?.book === this.name ? mark.index : 0;
+  /** Returns the changes after a cursor, up to the size of one message. */
+  changesSince(cursor: SuspectCursor | undefined): SuspectBatch {
+    const from = cursor?.book === this.name ? cursor.index : 0;
     const suspects: Suspect[] = [];
     let index = from;
     if (this.index === from) return { book: this.name, index, suspects };
     for (const kept of this.kept.values()) {
       if (kept.index <= from) continue;
-      if (suspects.length >= poisonLimits.mostInBatch) break;
+      if (suspects.length >= poisonLimits.maxBatchSize) break;
       suspects.push(kept.suspect);
       index = kept.index;
     }
     return { book: this.name, index, suspects };
   }
 
-  /** Drops what has been kept long enough. */
-  forget(nowMs: Ms): void {
+  /** Removes requests whose retention time is over. */
+  expire(nowMs: Ms): void {
     for (const [content, { suspect, verdict, changedAtMs }] of this.kept) {
-      if (nowMs - changedAtMs <= FORGETS[verdict]) continue;
-      this.drop(content);
+      if (nowMs - changedAtMs <= RETENTION_MS[verdict]) continue;
+      this.remove(content);
       this.changed(suspect, 'sound', verdict);
     }
   }
 
-  drop(content: ContentId): void {
+  remove(content: ContentId): void {
     const kept = this.kept.get(content);
     if (!kept) return;
     this.kept.delete(content);
@@ -185,12 +185,12 @@
     }
   }
 
-  private mark(suspect: Suspect, turn: (crash: Crash) => CrashState, nowMs: Ms): boolean {
-    const crashes = suspect.crashes.map((crash) => ({ ...crash, state: turn(crash) }));
+  private update(suspect: Suspect, nextState: (crash: Crash) => CrashState, nowMs: Ms): boolean {
+    const crashes = suspect.crashes.map((crash) => ({ ...crash, state: nextState(crash) }));
     return this.add({ ...suspect, crashes }, nowMs);
   }
 
-  private notePlaces({ content, crashes }: Suspect, nowMs: Ms): void {
+  private indexUpstreams({ content, crashes }: Suspect, nowMs: Ms): void {
     for (const { upstream, state } of crashes) {
       const contents = this.byUpstream.get(upstream) ?? new Set();
       this.byUpstream.set(upstream, contents.add(content));
@@ -198,15 +198,15 @@
     }
   }
 
-  private makeRoom(): void {
-    if (this.poisonCount > poisonLimits.mostPoison) this.dropFirst(true);
-    if (this.kept.size > poisonLimits.mostSuspects) this.dropFirst(false);
+  private evict(): void {
+    if (this.poisonCount > poisonLimits.maxPoison) this.dropOldest(true);
+    if (this.kept.size > poisonLimits.maxSuspects) this.dropOldest(false);
   }
 
-  private dropFirst(isPoison: boolean): void {
+  private dropOldest(isPoison: boolean): void {
     for (const [content, { verdict }] of this.kept) {
       if ((verdict === 'poison') !== isPoison) continue;
-      this.drop(content);
+      this.remove(content);
       return;
     }
   }
--- a/src/direct/quota/customerlabel.ts
+++ b/src/direct/quota/customerlabel.ts
@@ -1,9 +1,9 @@
 import type { AccessTable, CustomerSpec } from '../../core/access/index.js';
 
-/** Metrics tell so many customers apart. */
-const MOST_LABELS = 100;
+/** Bound of the label's distinct values in metrics. */
+const MAX_LABELS = 100;
 
-/** What a customer is called in metrics: its name among the first hundred of a configuration, else `other`. */
+/** Returns a customer's label in metrics: its id, or `other` beyond the first hundred of the configuration. */
 export function customerLabel(
   access: AccessTable | undefined,
   customer: CustomerSpec | undefined,
@@ -11,7 +11,7 @@
   if (!customer) return 'none';
   let place = 0;
   for (const id of access?.customers.keys() ?? []) {
-    if (place >= MOST_LABELS) break;
+    if (place >= MAX_LABELS) break;
     if (id === customer.id) return id;
     place += 1;
   }
--- a/src/direct/quota/customerstate.ts
+++ b/src/direct/quota/customerstate.ts
@@ -1,15 +1,15 @@
 import type { CustomerId, KeyHash } from '../../base/index.js';
 import type { Quota } from '../../core/access/index.js';
 
-/** One customer as an entry knows it, for an operator. */
+/** An entry's view of one customer, for an operator. */
 export interface CustomerState {
   readonly id: CustomerId;
   readonly keyHashes: readonly KeyHash[];
   readonly quota?: Quota;
-  /** What this entry may run without asking. */
+  /** Tokens or requests that this entry may use without asking the holder. */
   readonly held: number;
-  /** What the holder of quotas has for all entries; absent at the others. */
+  /** What the quota holder has left for all entries; absent at other entries. */
   readonly left?: number;
-  /** Requests that this entry refused for the customer's limit since it started. */
+  /** Requests that this entry has refused because of the customer's quota since it started. */
   readonly refusedCount: number;
 }
--- a/src/direct/quota/drawquestion.ts
+++ b/src/direct/quota/drawrequest.ts
@@ -1,10 +1,10 @@
 import type { CustomerId, HostId } from '../../base/index.js';
 
-/** An entry asks for what one request needs beyond what it holds. */
-export interface DrawQuestion {
+/** An entry's request for the part of a request's cost that its local bucket lacks. */
+export interface DrawRequest {
   readonly entry: HostId;
   readonly customer: CustomerId;
   readonly missing: number;
-  /** What the whole request takes. */
+  /** Cost of the whole request. */
   readonly cost: number;
 }
--- a/src/direct/quota/tellcustomers.ts
+++ b/src/direct/quota/listcustomers.ts
@@ -1,14 +1,14 @@
 import type { KeyHash } from '../../base/index.js';
 import type { AccessTable, CustomerSpec } from '../../core/access/index.js';
 import type { CustomerState } from './customerstate.js';
-import type { QuotaBook } from './quotabook.js';
-import type { QuotaDesk } from './quotadesk.js';
+import type { QuotaLedger } from './quotaledger.js';
+import type { QuotaClient } from './quotaclient.js';
 
-/** All customers of a configuration as one entry knows them, for an operator. */
-export function tellCustomers(
+/** Lists all customers of a configuration with one entry's view of them, for an operator. */
+export function listCustomers(
   access: AccessTable,
-  desk: QuotaDesk,
-  book: QuotaBook,
+  client: QuotaClient,
+  book: QuotaLedger,
 ): readonly CustomerState[] {
   const hashes = new Map<CustomerSpec, KeyHash[]>();
   for (const [hash, customer] of access.customerByKey) {
@@ -17,6 +17,6 @@
   return [...access.customers.values()].map((customer) => {
     const { id, quota } = customer;
     const keyHashes = hashes.get(customer) ?? [];
-    return { id, keyHashes, quota, ...desk.stateOf(id), left: book.leftOf(id) };
+    return { id, keyHashes, quota, ...client.stateOf(id), left: book.remaining(id) };
   });
 }
--- a/src/direct/quota/quotaanswer.ts
+++ b/src/direct/quota/quotaanswer.ts
@@ -1,13 +1,13 @@
 import type { CustomerId } from '../../base/index.js';
 
-/** What the holder of quotas tells an entry that has reported. */
+/** The quota holder's answer to an entry's report. */
 export interface QuotaAnswer {
-  /** Into how many parts a rate is cut for entries that hear of no holder. */
+  /** Number of equal parts of a rate; an entry without contact to the holder uses one part. */
   readonly parts: number;
   readonly grants: readonly {
     readonly customer: CustomerId;
     readonly granted: number;
-    /** Nothing is left: it is of no use to ask before the next report. */
+    /** Nothing is left: asking before the next report is useless. */
     readonly isEmpty: boolean;
     readonly retryAfterMs: number;
   }[];
--- a/src/direct/quota/quotadesk.ts
+++ b/src/direct/quota/quotaclient.ts
@@ -2,95 +2,95 @@
 import type { CustomerSpec, Quota } from '../../core/access/index.js';
 import { LocalBucket, quotaLimits, type QuotaTerms } from '../../core/quota/index.js';
 import type { DrawAnswer } from './drawanswer.js';
-import type { DrawQuestion } from './drawquestion.js';
+import type { DrawRequest } from './drawrequest.js';
 import type { QuotaAnswer } from './quotaanswer.js';
 import type { QuotaReport } from './quotareport.js';
-import type { Taken } from './taken.js';
+import type { PaymentResult } from './paymentresult.js';
 
-/** What an entry's side of the quotas stands on. */
-interface QuotaDeskOptions {
+interface QuotaClientOptions {
   readonly entry: HostId;
   readonly clock: Clock;
   readonly terms: QuotaTerms;
-  /** Into how many parts a rate is cut, as long as no holder has said so. */
+  /** Number of equal parts of a rate, used until a holder has sent its own number. */
   readonly parts: () => number;
-  /** Asks the holder; undefined without an answer. */
-  readonly draw: (question: DrawQuestion) => Promise<DrawAnswer | undefined>;
+  /** Asks the holder for quota; undefined without an answer. */
+  readonly draw: (question: DrawRequest) => Promise<DrawAnswer | undefined>;
 }
 
-const PAID: Taken = { type: 'paid' };
-/** An entry that cannot tell sends its callers to another one, which may be in touch. */
+const PAID: PaymentResult = { type: 'paid' };
+/** An entry that does not know the quota sends its callers to another entry, which may have contact to the holder. */
 const UNKNOWN_RETRY_MS = 250;
 
 /**
- * What this entry may run for each customer. Most requests are paid from what the holder granted ahead; the others
- * ask it. Without a holder it goes by a fixed part of the rate, which the holder leaves out meanwhile.
+ * What this entry may run for each customer. Most requests are paid from what the holder granted in advance; for the
+ * others the holder is asked. Without contact to the holder, the entry uses a fixed part of each rate, which the
+ * holder keeps out of its own grants meanwhile.
  */
-export class QuotaDesk {
+export class QuotaClient {
   private readonly buckets = new Map<CustomerId, LocalBucket>();
 
   private readonly refusedCounts = new Map<CustomerId, number>();
 
-  /** When the last question was sent that the holder answered; at first, the start of this process. */
+  /** Send time of the last message that the holder answered; before the first, the start of this process. */
   private answeredAtMs: Ms;
 
-  private toldParts: number | undefined;
+  private holderParts: number | undefined;
 
-  constructor(private readonly options: QuotaDeskOptions) {
+  constructor(private readonly options: QuotaClientOptions) {
     this.answeredAtMs = options.clock.nowMs();
   }
 
-  want(customer: CustomerId, cost: number): void {
+  addDemand(customer: CustomerId, cost: number): void {
     this.bucket(customer).recordDemand(cost);
   }
 
-  /** Takes from what lies here; undefined if the holder has to be asked. */
-  take({ id, quota }: CustomerSpec, cost: number): Taken | undefined {
+  /** Takes the cost from the local bucket; undefined if the holder has to be asked. */
+  take({ id, quota }: CustomerSpec, cost: number): PaymentResult | undefined {
     const bucket = this.filled(id, quota!);
     if (bucket.take(cost)) return PAID;
     const nowMs = this.options.clock.nowMs();
-    if (this.isAlone(nowMs)) return this.refuse(id, this.unknown(bucket));
+    if (this.isOutOfContact(nowMs)) return this.refuse(id, this.unknown(bucket));
     return bucket.isBackingOff(nowMs)
       ? this.refuse(id, this.over(bucket, quota!, cost))
       : undefined;
   }
 
-  /** Asks the holder for what is missing. */
-  async ask({ id, quota }: CustomerSpec, cost: number): Promise<Taken> {
+  /** Takes the cost, with what the local bucket lacks drawn from the holder. */
+  async ask({ id, quota }: CustomerSpec, cost: number): Promise<PaymentResult> {
     const { clock, draw, entry } = this.options;
     const sentAtMs = clock.nowMs();
     const own = this.bucket(id).takeAll();
-    const said = await draw({ entry, customer: id, missing: cost - own, cost });
+    const answer = await draw({ entry, customer: id, missing: cost - own, cost });
     const bucket = this.filled(id, quota!);
-    if (said && said.type !== 'not-holder') this.heardAt(sentAtMs);
-    bucket.deposit(own + (said?.type === 'granted' ? said.granted : 0));
+    if (answer && answer.type !== 'not-holder') this.noteContact(sentAtMs);
+    bucket.deposit(own + (answer?.type === 'granted' ? answer.granted : 0));
     if (bucket.take(cost)) return PAID;
-    if (said?.type !== 'empty') return this.refuse(id, this.unknown(bucket));
-    bucket.onRefused(said.retryAfterMs, quotaLimits.refusalBackoffMs, clock.nowMs());
+    if (answer?.type !== 'empty') return this.refuse(id, this.unknown(bucket));
+    bucket.onRefused(answer.retryAfterMs, quotaLimits.refusalBackoffMs, clock.nowMs());
     return this.refuse(id, this.over(bucket, quota!, 0));
   }
 
-  /** A run that was paid for never began. */
-  giveBack(customer: CustomerId, amount: number): void {
+  /** Gives back the payment for a run that was not begun. */
+  refund(customer: CustomerId, amount: number): void {
     this.bucket(customer).deposit(amount);
   }
 
-  /** What the holder is told; customers that neither want nor hold anything are left out. */
+  /** Returns the report for the holder, without customers that neither want nor hold anything. */
   report(): QuotaReport {
     const customers: QuotaReport['customers'][number][] = [];
     for (const [customer, bucket] of this.buckets) {
-      const told = bucket.report();
-      const isOfNote = told.wanted > 0 || told.held > 0 || told.returned > 0;
-      if (isOfNote) customers.push({ customer, ...told });
+      const report = bucket.report();
+      const hasContent = report.wanted > 0 || report.held > 0 || report.returned > 0;
+      if (hasContent) customers.push({ customer, ...report });
     }
     return { customers };
   }
 
-  /** The holder has answered the report that was sent then. */
+  /** Takes in the holder's answer to the report sent at `sentAtMs`. */
   answered({ parts, grants }: QuotaAnswer, sentAtMs: Ms): void {
     const nowMs = this.options.clock.nowMs();
-    this.toldParts = parts;
-    this.heardAt(sentAtMs);
+    this.holderParts = parts;
+    this.noteContact(sentAtMs);
     for (const { customer, granted, isEmpty, retryAfterMs } of grants) {
       const bucket = this.bucket(customer);
       bucket.deposit(granted);
@@ -98,22 +98,22 @@
     }
   }
 
-  /** What this entry may run for a customer without asking, and how many requests it has refused for it. */
+  /** Returns what this entry may use for a customer without asking, and how many of its requests it has refused. */
   stateOf(customer: CustomerId): { readonly held: number; readonly refusedCount: number } {
     const held = this.buckets.get(customer)?.level ?? 0;
     return { held, refusedCount: this.refusedCounts.get(customer) ?? 0 };
   }
 
-  /** How long ago the holder was last known to know of this entry. */
+  /** Returns the time since the last known contact with the holder. */
   ageMs(): Ms {
     return this.options.clock.nowMs() - this.answeredAtMs;
   }
 
-  private heardAt(sentAtMs: Ms): void {
+  private noteContact(sentAtMs: Ms): void {
     this.answeredAtMs = Math.max(this.answeredAtMs, sentAtMs);
   }
 
-  private isAlone(nowMs: Ms): boolean {
+  private isOutOfContact(nowMs: Ms): boolean {
     return nowMs - this.answeredAtMs > quotaLimits.isolatedAfterMs;
   }
 
@@ -124,7 +124,7 @@
     const alone = {
       fromMs: this.answeredAtMs + aloneAfterMs,
       untilMs: this.answeredAtMs + aloneForMs,
-      parts: this.toldParts ?? parts(),
+      parts: this.holderParts ?? parts(),
     };
     bucket.fill(quota, terms, alone, clock.nowMs());
     return bucket;
@@ -139,18 +139,18 @@
     return bucket;
   }
 
-  private refuse(customer: CustomerId, taken: Taken): Taken {
+  private refuse(customer: CustomerId, taken: PaymentResult): PaymentResult {
     this.refusedCounts.set(customer, (this.refusedCounts.get(customer) ?? 0) + 1);
     return taken;
   }
 
-  private over(bucket: LocalBucket, quota: Quota, cost: number): Taken {
+  private over(bucket: LocalBucket, quota: Quota, cost: number): PaymentResult {
     const retryAfterMs = bucket.retryAfterMs(cost, quota, this.options.clock.nowMs());
     const { level: left } = bucket;
     return { type: 'refused', reason: 'over', retryAfterMs, left, ageMs: this.ageMs() };
   }
 
-  private unknown({ level: left }: LocalBucket): Taken {
+  private unknown({ level: left }: LocalBucket): PaymentResult {
     const ageMs = this.ageMs();
     return { type: 'refused', reason: 'unknown', retryAfterMs: UNKNOWN_RETRY_MS, left, ageMs };
   }
--- a/src/direct/quota/quotabook.ts
+++ b/src/direct/quota/quotaledger.ts
@@ -2,56 +2,55 @@
 import type { AccessTable } from '../../core/access/index.js';
 import { quotaLimits, SharedBucket, type QuotaTerms } from '../../core/quota/index.js';
 import type { DrawAnswer } from './drawanswer.js';
-import type { DrawQuestion } from './drawquestion.js';
+import type { DrawRequest } from './drawrequest.js';
 import type { QuotaAnswer } from './quotaanswer.js';
 import type { QuotaReport } from './quotareport.js';
 
-/** What the holder's side of the quotas stands on. */
-interface QuotaBookOptions {
+interface QuotaLedgerOptions {
   readonly clock: Clock;
   readonly terms: QuotaTerms;
-  /** Into how many parts a rate is cut for entries out of touch; more than there are entries. */
+  /** Number of equal parts of a rate, of which an entry without contact uses one; more than there are entries. */
   readonly parts: () => number;
-  /** Entries that may be there, heard of by this holder or by the one before. */
+  /** Number of entries that may exist, as known to this holder or the previous one. */
   readonly entryCount: () => number;
-  /** Whether this process, and no other, may grant now. */
+  /** True while this process, and no other, may grant quota. */
   readonly mayGrant: () => boolean;
 }
 
-/** How many entries are in touch is counted anew after this long, in ms. */
-const COUNT_EVERY_MS = 50;
+/** Interval between counts of the entries in contact. */
+const COUNT_INTERVAL_MS = 50;
 
-/** The quotas of all customers, as the one process keeps them that has the right to. */
-export class QuotaBook {
+/** The quotas of all customers, kept by the one process that holds the lease for them. */
+export class QuotaLedger {
   private readonly buckets = new Map<CustomerId, SharedBucket>();
 
-  /** When each entry was last heard of. */
-  private readonly heardAtMs = new Map<HostId, Ms>();
+  /** When each entry last reported. */
+  private readonly reportedAtMs = new Map<HostId, Ms>();
 
   private access: AccessTable | undefined;
 
-  /** Before then entries that this holder has not heard of may go by their own share. */
+  /** Until then, entries that have not reported to this holder may be using their own part of the rates. */
   private knowsAllFromMs: Ms = 0;
 
-  private inTouch = 0;
+  private connectedCount = 0;
 
-  private silent = 0;
+  private silentCount = 0;
 
   private countedAtMs: Ms = -Infinity;
 
-  constructor(private readonly options: QuotaBookOptions) {}
+  constructor(private readonly options: QuotaLedgerOptions) {}
 
-  /** This process takes the right over: what the one before knew is gone with it. */
-  took(isFirst: boolean): void {
+  /** Starts anew as the holder: the previous holder's state is lost. */
+  takeOver(isFirst: boolean): void {
     const nowMs = this.options.clock.nowMs();
     this.buckets.clear();
-    this.heardAtMs.clear();
+    this.reportedAtMs.clear();
     this.countedAtMs = -Infinity;
     this.knowsAllFromMs = isFirst ? nowMs : nowMs + quotaLimits.forgetMs;
     this.limit(this.access);
   }
 
-  /** To be called several times a second: buckets fill also while nobody asks. */
+  /** Has to be called several times per second: buckets fill also while no entry asks. */
   tick(): void {
     if (!this.options.mayGrant()) return;
     const nowMs = this.options.clock.nowMs();
@@ -59,8 +58,8 @@
     for (const bucket of this.buckets.values()) bucket.fill(nowMs, inflow);
   }
 
-  /** False while entries that only the holder before has heard may go by their own share. */
-  knowsAll(): boolean {
+  /** Returns false while entries known only to the previous holder may be using their own part of the rates. */
+  knowsAllEntries(): boolean {
     return this.options.clock.nowMs() >= this.knowsAllFromMs;
   }
 
@@ -77,21 +76,21 @@
     }
   }
 
-  /** Answers an entry's report; undefined if another holds the quotas. */
+  /** Answers an entry's report; undefined if this process does not hold the quotas. */
   report(entry: HostId, { customers }: QuotaReport): QuotaAnswer | undefined {
     if (!this.options.mayGrant()) return undefined;
     const nowMs = this.options.clock.nowMs();
-    this.heardAtMs.set(entry, nowMs);
-    const told = new Map(customers.map((one) => [one.customer, one]));
+    this.reportedAtMs.set(entry, nowMs);
+    const reports = new Map(customers.map((report) => [report.customer, report]));
     for (const [id, bucket] of this.buckets) {
-      if (!told.has(id)) bucket.onReport(entry, 0, 0, 0);
+      if (!reports.has(id)) bucket.onReport(entry, 0, 0, 0);
     }
     const grants: QuotaAnswer['grants'][number][] = [];
     for (const { customer, wanted, held, returned } of customers) {
       const bucket = this.filled(customer, nowMs);
       if (!bucket) continue;
       bucket.onReport(entry, held, returned, wanted);
-      const granted = bucket.prefetch(entry, this.inTouch);
+      const granted = bucket.prefetch(entry, this.connectedCount);
       const isEmpty = bucket.isEmpty();
       const retryAfterMs = Math.round(bucket.retryAfterMs());
       if (granted > 0 || isEmpty) grants.push({ customer, granted, isEmpty, retryAfterMs });
@@ -99,7 +98,8 @@
     return { parts: this.options.parts(), grants };
   }
 
-  draw({ entry, customer, missing, cost }: DrawQuestion): DrawAnswer {
+  /** Grants what a request lacks, as far as the customer's quota allows. */
+  draw({ entry, customer, missing, cost }: DrawRequest): DrawAnswer {
     const bucket = this.options.mayGrant() && this.filled(customer, this.options.clock.nowMs());
     if (!bucket) return { type: 'not-holder' };
     const granted = bucket.draw(entry, missing, cost);
@@ -107,8 +107,8 @@
     return { type: 'empty', retryAfterMs: Math.round(bucket.retryAfterMs()) };
   }
 
-  /** What is left of a customer's limit for all entries; undefined at another than the holder. */
-  leftOf(customer: CustomerId): number | undefined {
+  /** Returns what is left of a customer's quota for all entries; undefined if this process is not the holder. */
+  remaining(customer: CustomerId): number | undefined {
     return this.options.mayGrant() ? this.buckets.get(customer)?.left : undefined;
   }
 
@@ -118,29 +118,31 @@
     return bucket;
   }
 
-  /** Entries out of touch may fill their own buckets: that much less flows into the shared one. */
+  /** Entries without contact may fill their own buckets; the shared bucket receives that much less. */
   private inflow(nowMs: Ms): { readonly share: number; readonly away: number } {
-    if (nowMs - this.countedAtMs >= COUNT_EVERY_MS) this.count(nowMs);
+    if (nowMs - this.countedAtMs >= COUNT_INTERVAL_MS) this.count(nowMs);
     const parts = this.options.parts();
-    const unheard = this.knowsAll() ? this.silent : this.options.entryCount() - this.inTouch;
-    const away = Math.min(1, Math.max(0, unheard) / parts);
+    const missingCount = this.knowsAllEntries()
+      ? this.silentCount
+      : this.options.entryCount() - this.connectedCount;
+    const away = Math.min(1, Math.max(0, missingCount) / parts);
     return { share: 1 - away, away };
   }
 
   private count(nowMs: Ms): void {
     this.countedAtMs = nowMs;
-    this.inTouch = 0;
-    this.silent = 0;
-    for (const [entry, heardAtMs] of this.heardAtMs) {
-      const silentMs = nowMs - heardAtMs;
+    this.connectedCount = 0;
+    this.silentCount = 0;
+    for (const [entry, reportedAtMs] of this.reportedAtMs) {
+      const silentMs = nowMs - reportedAtMs;
       if (silentMs > quotaLimits.forgetMs) this.forget(entry);
-      else if (silentMs > quotaLimits.presumedIsolatedAfterMs) this.silent += 1;
-      else this.inTouch += 1;
+      else if (silentMs > quotaLimits.presumedIsolatedAfterMs) this.silentCount += 1;
+      else this.connectedCount += 1;
     }
   }
 
   private forget(entry: HostId): void {
-    this.heardAtMs.delete(entry);
+    this.reportedAtMs.delete(entry);
     for (const bucket of this.buckets.values()) bucket.removeEntry(entry);
   }
 }
--- a/src/direct/quota/quotareport.ts
+++ b/src/direct/quota/quotareport.ts
@@ -1,13 +1,13 @@
 import type { CustomerId } from '../../base/index.js';
 
-/** What one entry tells the holder of quotas, with its report of demand. */
+/** What an entry reports to the quota holder, as part of its demand report. */
 export interface QuotaReport {
   readonly customers: readonly {
     readonly customer: CustomerId;
-    /** Asked for since the last report. */
+    /** Demand since the last report. */
     readonly wanted: number;
     readonly held: number;
-    /** Held until now, and given back with this. */
+    /** Held until now, and returned with this report. */
     readonly returned: number;
   }[];
 }
--- a/src/direct/reporter.ts
+++ b/src/direct/reporter.ts
@@ -11,8 +11,8 @@
   Peers,
   OrderLeaseKeeper,
 } from './orders/index.js';
-import type { PoisonDesk } from './poison/index.js';
-import type { QuotaBook, QuotaDesk } from './quota/index.js';
+import type { PoisonGuard } from './poison/index.js';
+import type { QuotaLedger, QuotaClient } from './quota/index.js';
 import type { Fleet } from './route/index.js';
 import type { UpstreamGate } from './selfreport/index.js';
 
@@ -26,9 +26,9 @@
   readonly entries: EntryCount;
   readonly lease: OrderLeaseKeeper;
   readonly dispatcher: OrderDispatcher;
-  readonly poison: PoisonDesk;
-  readonly quota: QuotaDesk;
-  readonly quotaBook: QuotaBook;
+  readonly poison: PoisonGuard;
+  readonly quota: QuotaClient;
+  readonly quotaBook: QuotaLedger;
   readonly gate: UpstreamGate;
   readonly peers: () => Peers;
   /** True if customers are configured. */
@@ -69,7 +69,7 @@
     this.updateLost(this.options.fleet.lost(clock.nowMs()));
     const report = {
       ...meter.report(this.lost, this.residencyCursor),
-      poison: poison.link.report(),
+      poison: poison.sync.report(),
       quota: hasCustomers() ? quota.report() : undefined,
       standings: gate.report(),
     };
@@ -100,7 +100,7 @@
     return {
       entryCount: entries.count(nowMs),
       news: dispatcher.news(report.heard),
-      poison: report.poison && poison.link.answer(report.poison),
+      poison: report.poison && poison.sync.answer(report.poison),
       quota: report.quota && quotaBook.report(report.entry as HostId, report.quota),
       standings: gate.report(),
     };
@@ -124,7 +124,7 @@
     entries.setReportedCount(answer.entryCount);
     this.applyChanges(answer.news);
     if (answer.standings) gate.take(address, answer.standings);
-    if (report.poison && answer.poison) poison.link.answered(report.poison, answer.poison);
+    if (report.poison && answer.poison) poison.sync.answered(report.poison, answer.poison);
   }
 
   /** Applies residency changes by orders before the list shows them. */
--- a/src/direct/route/block.ts
+++ b/src/direct/route/block.ts
@@ -1,9 +1,9 @@
 import type { Ms } from '../../base/index.js';
 
-/** Why an upstream gets no request now, though it could run it. */
+/** Why an upstream that could run a request may not be sent it now. */
 export interface Block {
-  /** It has named a limit of requests, or wants nothing from this entry for a time. */
+  /** `limited`: it has reported a rate limit. `paused`: it has asked this entry for a backoff. */
   readonly reason: 'limited' | 'paused';
-  /** Until then it stays so; Infinity if that is not known yet. */
+  /** Time until requests may be sent again; Infinity if unknown. */
   readonly opensInMs: Ms;
 }
--- a/src/direct/route/fleet.ts
+++ b/src/direct/route/fleet.ts
@@ -5,39 +5,42 @@
 import { rateRules } from '../../core/sharedrate/index.js';
 import type { Upstream } from '../../core/upstreams/index.js';
 import type { Block } from './block.js';
-import type { Choosing } from './choosing.js';
+import type { ChoiceOptions } from './choiceoptions.js';
 import type { Gate } from './gate.js';
-import { holds } from './holds.js';
-import type { Need } from './need.js';
-import { SendCount } from './sendcount.js';
-import type { SlotAsk } from './slotask.js';
+import { has } from './has.js';
+import type { Target } from './target.js';
+import { SendCounter } from './sendcounter.js';
+import type { SlotWaiter } from './slotwaiter.js';
 import type { UpstreamState } from './upstreamstate.js';
 
-/** What became of an attempt, as far as it tells of its upstream. */
-type Lesson = 'answered' | 'full' | 'missing' | 'failed' | 'unreachable';
+/** Outcome of an attempt, as far as it is evidence on the upstream. */
+type Outcome = 'answered' | 'full' | 'missing' | 'failed' | 'unreachable';
 
-/** Load that another availability zone's upstream must be below by, as a part of its slots. */
+/** An upstream in another availability zone is preferred only if its load is lower by this fraction of its slots. */
 const ZONE_COST = 0.08;
-/** The load header's word on others' requests is halved after this long without a newer one. */
+/** The load of other entries, as reported in a load header, decays by half in this time until a newer report. */
 const OTHERS_HALF_LIFE_MS = 1000;
-/** Weight of one attempt in the share of failures. */
+/** Weight of one attempt in the moving average of failures. */
 const FAILURE_WEIGHT = 0.15;
-/** What having all that it bears costs: one that bears more goes first. */
+/** Cost of an upstream that has reached its limit, so that others are preferred. */
 const FULL_COST = 1;
-/** A trial goes to the only place of a model only if there is no other for it: above all other costs together. */
-const ONLY_PLACE_COST = 10;
-/** What a share of failures of 1 costs, as a part of the slots. */
+/**
+ * Cost, for a trial, of an upstream that has the only replica of a model. It exceeds all other costs together, so that
+ * such an upstream is chosen only if there is no other.
+ */
+const ONLY_REPLICA_COST = 10;
+/** Cost of a failure share of 1, as a fraction of the slots. */
 const FAILURE_COST = 2;
 /**
- * An upstream that could not be reached, or that has started anew, is left alone for this long. The list tells
- * of its end after three missed entries, 3.6 s: until then 1,300 requests of a day went to ones that had crashed.
+ * An upstream that could not be reached, or that has restarted, is avoided for this long. The list shows a crash only
+ * after three missed renewals (3.6 s); without this rule 1,300 requests of one day went to crashed upstreams.
  */
 const UNREACHABLE_MS = 1500;
-/** An interval between an upstream's entries in the list, and the list's lag. */
+/** One renewal interval of an upstream's list record, and the propagation delay of the list. */
 const HINT_MS = 3000;
-/** One that refused as full, in ms: about as long as a plain service needs for a few requests. */
+/** Avoidance time of an upstream that refused as full: about as long as a plain service needs for a few requests. */
 const FULL_MS = 60;
-const AVOID_MS: Readonly<Record<Lesson, Ms>> = {
+const AVOID_MS: Readonly<Record<Outcome, Ms>> = {
   answered: 0,
   failed: 0,
   missing: 0,
@@ -46,18 +49,23 @@
 };
 
 /**
- * An engine that crashes without a word leaves its connections open: streams there stand still, and what is sent
- * there until the list tells of it, 3.6 s later, is lost. Twice the longest pause in time is no burst of prompts;
- * one stream alone may have been preempted.
+ * An engine may crash without closing its connections: its streams stall, and requests sent there until the list shows
+ * the crash, 3.6 s later, are lost. A silence of twice the longest allowed gap is not explained by a burst
+ * of prompts. At least two streams have to be silent, because a single one may have been preempted.
  */
 const SILENT_STREAMS = 2;
-const SILENT_TARGETS = 2;
-const LEAST_SILENT_MS = 500;
+const SILENT_GAPS = 2;
+const MIN_SILENT_MS = 500;
 
-/** Rank of a request that does not wait. */
+/** Rank of a slot that no request waits for. */
 const LEAST_URGENT = 9;
 
-const OPEN: Gate = { blockOf: () => undefined, isLetIn: () => true, wanted() {}, enter() {} };
+const OPEN_GATE: Gate = {
+  blockOf: () => undefined,
+  maySend: () => true,
+  wanted() {},
+  useSlot() {},
+};
 
 /** The upstreams that this entry may choose from. */
 export class Fleet {
@@ -69,7 +77,7 @@
 
   constructor(
     private readonly availabilityZone: string,
-    private readonly gate: Gate = OPEN,
+    private readonly gate: Gate = OPEN_GATE,
   ) {}
 
   put(info: Upstream): void {
@@ -81,7 +89,7 @@
     const state: UpstreamState = {
       info,
       inFlight: 0,
-      sent: new SendCount(rateRules.windowMs),
+      sent: new SendCounter(rateRules.windowMs),
       othersLoad: 0,
       othersAtMs: 0,
       failureShare: 0,
@@ -120,128 +128,131 @@
     return this.states.values();
   }
 
-  of(service: ServiceId): Iterable<UpstreamState> {
+  upstreamsOf(service: ServiceId): Iterable<UpstreamState> {
     return this.byService.get(service) ?? [];
   }
 
   /**
-   * The best upstream for a need; undefined if none can be chosen. The gate has let in that one request at that moment:
-   * where a connection has to be opened, `mayEnter` is asked once more right before the send.
+   * Returns the best upstream for a target; undefined if none can be chosen. The gate has admitted the request for this
+   * moment only: where a connection has to be opened first, `maySend` has to be asked again right before the send.
    */
-  choose(need: Need, nowMs: Ms, choosing: Choosing = {}): UpstreamState | undefined {
-    const { tried, alsoLost = true, isTrial = false, asker } = choosing;
+  choose(target: Target, nowMs: Ms, choosing: ChoiceOptions = {}): UpstreamState | undefined {
+    const { tried, includesLost = true, isTrial = false, requestId } = choosing;
     let best: UpstreamState | undefined;
     let bestCost = Infinity;
-    let blocked: UpstreamState | undefined;
+    let bestBlocked: UpstreamState | undefined;
     let blockedCost = Infinity;
-    for (const state of this.of(need.service)) {
-      if (state.info.isLeaving || tried?.has(state.info.id) || !holds(state, need, nowMs)) continue;
-      if (!alsoLost && this.isLost(state, nowMs)) continue;
-      const risk = isTrial && this.isOnlyPlace(state, nowMs) ? ONLY_PLACE_COST : 0;
+    for (const state of this.upstreamsOf(target.service)) {
+      if (state.info.isLeaving || tried?.has(state.info.id) || !has(state, target, nowMs)) continue;
+      if (!includesLost && this.isLost(state, nowMs)) continue;
+      const risk = isTrial && this.hasOnlyReplica(state, nowMs) ? ONLY_REPLICA_COST : 0;
       const cost = this.cost(state, nowMs) + risk;
       if (cost >= bestCost) continue;
-      if (this.gate.blockOf(state.info, nowMs, asker)) {
-        if (cost < blockedCost) [blocked, blockedCost] = [state, cost];
+      if (this.gate.blockOf(state.info, nowMs, requestId)) {
+        if (cost < blockedCost) [bestBlocked, blockedCost] = [state, cost];
         continue;
       }
       best = state;
       bestCost = cost;
     }
-    if (blocked && best && blockedCost < bestCost) this.wantNext(blocked, nowMs);
+    if (bestBlocked && best && blockedCost < bestCost) this.requestNextSlot(bestBlocked, nowMs);
     return best;
   }
 
-  /** Why no upstream that holds what is needed gets a request now: of several, the one that opens first. */
-  blocked(need: Need, nowMs: Ms, asker: string): Block | undefined {
+  /** Returns why no upstream that holds the target may be sent a request now: the block that ends first. */
+  blockFor(target: Target, nowMs: Ms, requestId: string): Block | undefined {
     let first: Block | undefined;
-    for (const { info } of this.holding(need, nowMs)) {
-      const block = this.gate.blockOf(info, nowMs, asker);
+    for (const { info } of this.holding(target, nowMs)) {
+      const block = this.gate.blockOf(info, nowMs, requestId);
       if (!block) return undefined;
       if (!first || block.opensInMs < first.opensInMs) first = block;
     }
     return first;
   }
 
-  /** A request can wait for one of those that hold what is needed. */
-  waitFor(need: Need, ask: SlotAsk, nowMs: Ms): void {
-    const upstreams = [...this.holding(need, nowMs)].map(({ info }) => info);
+  /** Asks for a slot at one of the upstreams that hold the target. */
+  requestSlot(target: Target, ask: SlotWaiter, nowMs: Ms): void {
+    const upstreams = [...this.holding(target, nowMs)].map(({ info }) => info);
     this.gate.wanted(upstreams, ask, nowMs);
   }
 
-  /** Whether a request for which it was chosen at `chosenAtMs` may still be sent there. */
-  mayEnter({ info }: UpstreamState, chosenAtMs: Ms, nowMs: Ms): boolean {
+  /** Returns true if a request for which the upstream was chosen at `chosenAtMs` may still be sent there. */
+  maySend({ info }: UpstreamState, chosenAtMs: Ms, nowMs: Ms): boolean {
     const known = this.states.get(info.id)?.info;
-    return known !== undefined && !known.isLeaving && this.gate.isLetIn(known, chosenAtMs, nowMs);
+    return known !== undefined && !known.isLeaving && this.gate.maySend(known, chosenAtMs, nowMs);
   }
 
-  /** A request is sent there. */
-  enter(state: UpstreamState, nowMs: Ms, asker: string): void {
-    this.gate.enter(state.info, nowMs, asker);
+  /** Records that a request is sent there. */
+  recordSend(state: UpstreamState, nowMs: Ms, requestId: string): void {
+    this.gate.useSlot(state.info, nowMs, requestId);
     state.sent.add(nowMs);
   }
 
-  /** Requests of this entry that were sent there in the window of a limit. */
-  sentLately(id: UpstreamId, nowMs: Ms): number {
+  /** Returns the number of requests that this entry has sent there within the window of a rate limit. */
+  recentSends(id: UpstreamId, nowMs: Ms): number {
     return this.states.get(id)?.sent.sum(nowMs) ?? 0;
   }
 
-  /** One that would have been the best: the next request may go there, if nobody waits for it. */
-  private wantNext({ info }: UpstreamState, nowMs: Ms): void {
+  /** Asks for a slot at an upstream that would have been the best choice, for the next request. */
+  private requestNextSlot({ info }: UpstreamState, nowMs: Ms): void {
     this.gate.wanted([info], { rank: LEAST_URGENT, waitMs: 0 }, nowMs);
   }
 
-  /** Upstreams that could run it and do not leave. */
-  private *holding(need: Need, nowMs: Ms): Iterable<UpstreamState> {
-    for (const state of this.of(need.service)) {
-      if (!state.info.isLeaving && holds(state, need, nowMs)) yield state;
+  /** Yields the upstreams that hold the target and are not leaving. */
+  private *holding(target: Target, nowMs: Ms): Iterable<UpstreamState> {
+    for (const state of this.upstreamsOf(target.service)) {
+      if (!state.info.isLeaving && has(state, target, nowMs)) yield state;
     }
   }
 
-  /** Whether it holds a model that no other upstream does: its end would leave that model nowhere. */
-  private isOnlyPlace(state: UpstreamState, nowMs: Ms): boolean {
+  /** Returns true if the upstream has the only replica of a model, which would be lost with the upstream. */
+  private hasOnlyReplica(state: UpstreamState, nowMs: Ms): boolean {
     const { service, models } = state.info;
     for (const model of models.keys()) {
-      const need = { service, model };
-      const others = [...this.of(service)].filter((other) => other !== state);
-      if (!others.some((other) => !other.info.isLeaving && holds(other, need, nowMs))) return true;
+      const target = { service, model };
+      const others = [...this.upstreamsOf(service)].filter((other) => other !== state);
+      if (!others.some((other) => !other.info.isLeaving && has(other, target, nowMs))) return true;
     }
     return false;
   }
 
-  learn(state: UpstreamState, lesson: Lesson, need: Need, nowMs: Ms): void {
-    const mark = state;
-    const failed = lesson === 'failed' || lesson === 'unreachable' ? 1 : 0;
-    if (failed === 1) mark.failedAtMs = nowMs;
-    if (lesson === 'answered') Object.assign(mark, { answeredAtMs: nowMs, lostAtMs: -Infinity });
-    // After a failure, one that lacks a model which the list says it holds has started anew.
-    const isOtherStart =
-      lesson === 'missing' && need.adapter === undefined && state.failedAtMs > state.answeredAtMs;
-    if (lesson === 'unreachable' || isOtherStart) mark.lostAtMs = nowMs;
-    if (lesson !== 'full' && lesson !== 'missing') {
-      mark.failureShare += (failed - state.failureShare) * FAILURE_WEIGHT;
+  /** Updates what is known of an upstream by the outcome of an attempt there. */
+  recordOutcome(state: UpstreamState, outcome: Outcome, target: Target, nowMs: Ms): void {
+    const draft = state;
+    const failed = outcome === 'failed' || outcome === 'unreachable' ? 1 : 0;
+    if (failed === 1) draft.failedAtMs = nowMs;
+    if (outcome === 'answered') Object.assign(draft, { answeredAtMs: nowMs, lostAtMs: -Infinity });
+    // An upstream that lacks a model which it has by the list, right after a failure, has restarted.
+    const hasRestarted =
+      outcome === 'missing' &&
+      target.adapter === undefined &&
+      state.failedAtMs > state.answeredAtMs;
+    if (outcome === 'unreachable' || hasRestarted) draft.lostAtMs = nowMs;
+    if (outcome !== 'full' && outcome !== 'missing') {
+      draft.failureShare += (failed - state.failureShare) * FAILURE_WEIGHT;
     }
-    const avoidMs = AVOID_MS[lesson];
-    mark.avoidUntilMs = Math.max(state.avoidUntilMs, nowMs + avoidMs);
-    if (lesson === 'missing') this.hint(state, need, false, nowMs);
+    const avoidMs = AVOID_MS[outcome];
+    draft.avoidUntilMs = Math.max(state.avoidUntilMs, nowMs + avoidMs);
+    if (outcome === 'missing') this.hint(state, target, false, nowMs);
   }
 
   isLost(state: UpstreamState, nowMs: Ms): boolean {
     return nowMs - state.lostAtMs < UNREACHABLE_MS || this.isSilent(state, nowMs);
   }
 
-  /** This process stood still until now: that nothing came meanwhile says nothing of upstreams. */
-  woke(nowMs: Ms): void {
+  /** Notes that the event loop was stalled until now, so that missing events are not held against upstreams. */
+  resumed(nowMs: Ms): void {
     this.awakeSinceMs = nowMs;
   }
 
-  /** Whether several streams run there and none has had an event for longer than their pauses may last. */
+  /** Returns true if several streams run there and none has had an event for longer than their gaps may last. */
   private isSilent({ streamCount, eventAtMs, gapTargetMs }: UpstreamState, nowMs: Ms): boolean {
     if (streamCount < SILENT_STREAMS) return false;
-    const silentMs = Math.max(LEAST_SILENT_MS, gapTargetMs * SILENT_TARGETS);
+    const silentMs = Math.max(MIN_SILENT_MS, gapTargetMs * SILENT_GAPS);
     return nowMs - Math.max(eventAtMs, this.awakeSinceMs) > silentMs;
   }
 
-  /** Upstreams that this entry finds lost now. */
+  /** Returns the upstreams that this entry takes for lost now. */
   lost(nowMs: Ms): UpstreamId[] {
     const ids: UpstreamId[] = [];
     for (const state of this.states.values()) {
@@ -250,44 +261,45 @@
     return ids;
   }
 
-  /** Notes what was found out about a model or adapter, until the list can have told of it. */
-  hint(state: UpstreamState, { model, adapter }: Need, isThere: boolean, nowMs: Ms): void {
+  /** Notes whether a model or adapter was found there, until the list can show it. */
+  hint(state: UpstreamState, { model, adapter }: Target, isThere: boolean, nowMs: Ms): void {
     if (model === undefined) return;
     const hint = { isThere, untilMs: nowMs + HINT_MS };
     if (adapter !== undefined) state.hints.set(`${model}/${adapter}`, hint);
     if (adapter === undefined || isThere) state.hints.set(model, hint);
   }
 
-  learnLoad(state: UpstreamState, load: { running: number; waiting: number }, nowMs: Ms): void {
+  /** Takes in the load that an upstream reported in an answer. */
+  recordLoad(state: UpstreamState, load: { running: number; waiting: number }, nowMs: Ms): void {
     const othersLoad = Math.max(0, load.running + load.waiting - state.inFlight);
     Object.assign(state, { othersLoad, othersAtMs: nowMs });
   }
 
-  /** The first event of a stream came this long after its request had been sent there. */
-  learnFirst(state: UpstreamState, tookMs: Ms, nowMs: Ms): void {
+  /** Records the time from sending a request to the first event of its stream. */
+  recordFirstEvent(state: UpstreamState, tookMs: Ms, nowMs: Ms): void {
     const calmFirstMs = calmTime(state.calmFirstMs, tookMs);
     Object.assign(state, { eventAtMs: nowMs, calmFirstMs });
   }
 
-  /** An event of a stream came this long after the one before. Returns true if that cut the engine's limit. */
-  learnGap(state: UpstreamState, gapMs: Ms, targetMs: Ms, nowMs: Ms): boolean {
-    const mark = state;
-    mark.eventAtMs = nowMs;
-    mark.gapTargetMs = targetMs;
-    mark.calmGapMs = calmTime(state.calmGapMs, gapMs);
+  /** Records the gap between two events of a stream. Returns true if it has reduced the engine's limit. */
+  recordGap(state: UpstreamState, gapMs: Ms, targetMs: Ms, nowMs: Ms): boolean {
+    const draft = state;
+    draft.eventAtMs = nowMs;
+    draft.gapTargetMs = targetMs;
+    draft.calmGapMs = calmTime(state.calmGapMs, gapMs);
     const before = state.limit;
-    mark.limit = onGap(before, { gapMs, targetMs, fill: this.fill(state, nowMs) }, nowMs);
-    return mark.limit !== before;
+    draft.limit = onGap(before, { gapMs, targetMs, fill: this.utilization(state, nowMs) }, nowMs);
+    return draft.limit !== before;
   }
 
-  /** An answer of a plain upstream began this long after its request was sent, with so many there before it. */
-  learnService(state: UpstreamState, tookMs: Ms, load: number): void {
-    const mark = state;
+  /** Records how long a plain upstream took to answer, with `load` requests there when the request was sent. */
+  recordServiceTime(state: UpstreamState, tookMs: Ms, load: number): void {
+    const draft = state;
     const { slots } = state.info;
-    mark.serviceMs = learnService(state.serviceMs, { tookMs, load, slots });
+    draft.serviceMs = learnService(state.serviceMs, { tookMs, load, slots });
   }
 
-  /** Whether a request to a plain upstream can be in time there, or makes nobody late. */
+  /** Returns true if a request can be answered in time by a plain upstream, or does not delay other requests there. */
   mayJoin(state: UpstreamState, heldMs: Ms, targetMs: Ms, nowMs: Ms): boolean {
     const load = this.load(state.info.id, nowMs);
     const { slots } = state.info;
@@ -296,17 +308,17 @@
     return mayJoin({ heldMs, targetMs, expectedMs: takesMs, load, slots });
   }
 
-  /** Whether an engine has all that it bears; the most urgent requests may still go there. */
+  /** Returns true if an engine has reached its limit, which is higher for the most urgent requests. */
   isFull(state: UpstreamState, isUrgent: boolean, nowMs: Ms): boolean {
     const share = isUrgent ? engineLimitRules.urgentFactor : 1;
-    return this.fill(state, nowMs) > maxFill(state.limit, nowMs) * share;
+    return this.utilization(state, nowMs) > maxFill(state.limit, nowMs) * share;
   }
 
-  /** How many prompts the engines of a service read in the time of a pause that is in time, as far as is known. */
-  promptsPerPause(service: ServiceId): number | undefined {
+  /** Returns how many prompts a service's engine processes within one allowed gap, on average; undefined if unknown. */
+  promptsPerGap(service: ServiceId): number | undefined {
     let sum = 0;
     let count = 0;
-    for (const { calmFirstMs, gapTargetMs } of this.of(service)) {
+    for (const { calmFirstMs, gapTargetMs } of this.upstreamsOf(service)) {
       if (!Number.isFinite(calmFirstMs) || !Number.isFinite(gapTargetMs)) continue;
       sum += gapTargetMs / Math.max(1, calmFirstMs);
       count += 1;
@@ -314,24 +326,24 @@
     return count === 0 ? undefined : sum / count;
   }
 
-  /** Whether an engine is reading prompts now, as far as this entry sees. */
+  /** Returns true if an engine is processing prompts now, as far as this entry can see. */
   isReading(state: UpstreamState, gapTargetMs: Ms, nowMs: Ms): boolean {
     if (this.awakeSinceMs <= state.eventAtMs) return isPrefilling(state, gapTargetMs, nowMs);
     return isPrefilling({ ...state, eventAtMs: this.awakeSinceMs }, gapTargetMs, nowMs);
   }
 
-  /** Part of an upstream's slots that is taken; above 1 requests wait there. */
-  fill(state: UpstreamState, nowMs: Ms): number {
+  /** Returns the fraction of an upstream's slots that is in use; above 1, requests wait there. */
+  utilization(state: UpstreamState, nowMs: Ms): number {
     return (state.inFlight + this.others(state, nowMs)) / state.info.slots;
   }
 
-  /** Requests at an upstream, as far as known here. */
+  /** Returns the number of requests at an upstream, as far as known here. */
   load(id: UpstreamId, nowMs: Ms): number {
     const state = this.states.get(id);
     return state ? state.inFlight + this.others(state, nowMs) : 0;
   }
 
-  /** Load as a part of the slots, with what speaks against the upstream. */
+  /** Returns the cost of choosing an upstream: its load as a fraction of its slots, with penalties. */
   cost(state: UpstreamState, nowMs: Ms): number {
     const { info } = state;
     const load = (state.inFlight + this.others(state, nowMs) + 1) / info.slots;
--- a/src/direct/route/gate.ts
+++ b/src/direct/route/gate.ts
@@ -1,16 +1,16 @@
 import type { Ms } from '../../base/index.js';
 import type { Upstream } from '../../core/upstreams/index.js';
 import type { Block } from './block.js';
-import type { SlotAsk } from './slotask.js';
+import type { SlotWaiter } from './slotwaiter.js';
 
-/** Says whether an upstream wants a request now. */
+/** Decides whether a request may be sent to an upstream now. */
 export interface Gate {
-  /** Undefined if a request may be sent there now; `asker` names it. */
-  blockOf(upstream: Upstream, nowMs: Ms, asker?: string): Block | undefined;
-  /** One of them would have been chosen, were it not blocked. */
-  wanted(upstreams: readonly Upstream[], ask: SlotAsk, nowMs: Ms): void;
-  /** Whether a request that was let in at `enteredAtMs` may still be sent there. */
-  isLetIn(upstream: Upstream, enteredAtMs: Ms, nowMs: Ms): boolean;
-  /** A request is sent there. */
-  enter(upstream: Upstream, nowMs: Ms, asker: string): void;
+  /** Returns undefined if the request named by `requestId` may be sent there now. */
+  blockOf(upstream: Upstream, nowMs: Ms, requestId?: string): Block | undefined;
+  /** Asks for a slot: one of these upstreams would have been chosen if it were not blocked. */
+  wanted(upstreams: readonly Upstream[], ask: SlotWaiter, nowMs: Ms): void;
+  /** Returns true if a request for which the upstream was chosen at `chosenAtMs` may still be sent there. */
+  maySend(upstream: Upstream, chosenAtMs: Ms, nowMs: Ms): boolean;
+  /** Uses up a slot, if the upstream has a limit: a request is sent there. */
+  useSlot(upstream: Upstream, nowMs: Ms, requestId: string): void;
 }
--- a/src/direct/route/holds.ts
+++ b/src/direct/route/has.ts
@@ -1,5 +1,5 @@
 import type { Ms } from '../../base/index.js';
-import type { Need } from './need.js';
+import type { Target } from './target.js';
 import type { UpstreamState } from './upstreamstate.js';
 
 function hinted({ hints }: UpstreamState, key: string, nowMs: Ms): boolean | undefined {
@@ -7,8 +7,8 @@
   return hint && hint.untilMs > nowMs ? hint.isThere : undefined;
 }
 
-/** Whether an upstream has the model and the adapter, as far as this entry knows. */
-export function holds(state: UpstreamState, { model, adapter }: Need, nowMs: Ms): boolean {
+/** Returns true if an upstream has the target's model and adapter in memory, as far as this entry knows. */
+export function has(state: UpstreamState, { model, adapter }: Target, nowMs: Ms): boolean {
   if (model === undefined) return true;
   const held = state.info.models.get(model);
   if (!(hinted(state, model, nowMs) ?? held !== undefined)) return false;
--- a/src/direct/route/index.ts
+++ b/src/direct/route/index.ts
@@ -1,8 +1,8 @@
-/** Which upstream takes a request. */
+/** Choice of the upstream that a request is sent to. */
 export type { Block } from './block.js';
 export { Fleet } from './fleet.js';
 export type { Gate } from './gate.js';
-export { holds } from './holds.js';
-export type { Need } from './need.js';
-export type { SlotAsk } from './slotask.js';
+export { has } from './has.js';
+export type { Target } from './target.js';
+export type { SlotWaiter } from './slotwaiter.js';
 export type { UpstreamState } from './upstreamstate.js';
--- a/src/direct/route/sendcount.ts
+++ b/src/direct/route/sendcounter.ts
@@ -1,10 +1,10 @@
 import type { Ms } from '../../base/index.js';
 
-/** Parts of the window: what is counted is up to one part more than the window. */
+/** Number of parts of the window. The counted time is up to one part longer than the window. */
 const PARTS = 8;
 
-/** Roughly how many requests were sent to an upstream in the window before now, at a fixed size. */
-export class SendCount {
+/** Counts the requests sent to an upstream within a sliding window, approximately and in constant space. */
+export class SendCounter {
   private readonly counts = new Array<number>(PARTS + 1).fill(0);
 
   private part = 0;
--- a/src/direct/route/need.ts
+++ b/src/direct/route/target.ts
@@ -1,7 +1,7 @@
 import type { ModelId, ServiceId } from '../../base/index.js';
 
-/** What a request needs of an upstream. */
-export interface Need {
+/** Service, model and adapter that a request requires. */
+export interface Target {
   readonly service: ServiceId;
   readonly model?: ModelId;
   readonly adapter?: string;
--- a/src/direct/route/upstreamstate.ts
+++ b/src/direct/route/upstreamstate.ts
@@ -1,41 +1,42 @@
 import type { Ms } from '../../base/index.js';
 import type { LimitState } from '../../core/enginelimit/index.js';
 import type { Upstream } from '../../core/upstreams/index.js';
-import type { SendCount } from './sendcount.js';
+import type { SendCounter } from './sendcounter.js';
 
 /** What an entry knows of one upstream, from the list and from its own requests. */
 export interface UpstreamState {
   info: Upstream;
-  /** Requests of this entry that are there now. */
+  /** Requests of this entry that are in flight there. */
   inFlight: number;
-  /** Requests of this entry that were sent there of late. */
-  readonly sent: SendCount;
-  /** Requests of others, as the last answer's load told. */
+  /** Requests of this entry that were sent there within the window of a rate limit. */
+  readonly sent: SendCounter;
+  /** Requests of other entries, by the load reported in the last answer. */
   othersLoad: number;
   othersAtMs: Ms;
-  /** Part of the recent attempts that failed there: 0 to 1. */
+  /** Fraction of the recent attempts that failed there: 0 to 1. */
   failureShare: number;
-  /** Not chosen before then while another can be. */
+  /** Not chosen before then if another upstream can be. */
   avoidUntilMs: Ms;
-  /** When it was last found lost: a connection did not open, or after a failure another start answered. */
+  /** When it was last found lost: a connection did not open, or after a failure another incarnation answered. */
   lostAtMs: Ms;
   answeredAtMs: Ms;
   failedAtMs: Ms;
-  /** Requests of this entry there whose first event has not come: their prompts are being read, or wait for it. */
+  /** Requests of this entry whose first event has not arrived: their prompts are being processed, or wait for it. */
   readingCount: number;
-  /** Streams of this entry that have begun there and have not ended. */
+  /** Streams of this entry that have begun there and not ended. */
   streamCount: number;
-  /** When an event of one of them last came. */
+  /** When an event of one of these streams last arrived. */
   eventAtMs: Ms;
-  /** Time between two events of a stream there while little is read, and to a first event. */
+  /** Time between two events of a stream while few prompts are processed there. */
   calmGapMs: Ms;
+  /** Time to the first event of a stream under the same condition. */
   calmFirstMs: Ms;
-  /** The longest pause between events with which its streams are in time, as last seen. */
+  /** Longest gap between events that the target latency of its streams allows, as of the last event. */
   gapTargetMs: Ms;
-  /** How long a plain upstream works on one request; infinite until one was answered. */
+  /** Service time of one request at a plain upstream; Infinity until one was answered. */
   serviceMs: Ms;
-  /** How much it bears, by the gaps between its events. */
+  /** Concurrency limit, found from the gaps between events. */
   limit: LimitState;
-  /** `model` or `model/adapter` that was found missing or made present, before the list told of it. */
+  /** `model` or `model/adapter` that was found missing or was loaded, before the list shows it. */
   readonly hints: Map<string, { readonly isThere: boolean; readonly untilMs: Ms }>;
 }
--- a/src/direct/run/attempt.ts
+++ b/src/direct/run/attempt.ts
@@ -2,7 +2,7 @@
 import type { AttemptEnd } from '../../core/delivery/index.js';
 import type { Route } from '../../core/routetable/index.js';
 import type { UpstreamLink, UpstreamReceiver } from '../../port/index.js';
-import type { Need, UpstreamState } from '../route/index.js';
+import type { Target, UpstreamState } from '../route/index.js';
 import type { Serving } from '../serving.js';
 import type { Reply } from './reply.js';
 import type { RunRecord } from './runrecord.js';
@@ -13,59 +13,58 @@
 type Sent = NonNullable<ReturnType<UpstreamLink['send']>>;
 type Failure = Parameters<UpstreamReceiver['failed']>[0];
 
-/** What one attempt stands on. */
 interface AttemptOptions {
   readonly serving: Serving;
   readonly suspicion: Suspicion;
   readonly reply: Reply;
   readonly record: RunRecord;
   readonly route: Route;
-  readonly need: Need;
+  readonly target: Target;
   readonly state: UpstreamState;
-  /** Whether its request, chosen for then, may still be sent there. */
+  /** Returns true if the request, for which the upstream was chosen at `chosenAtMs`, may still be sent there. */
   readonly mayLeave: (chosenAtMs: Ms) => boolean;
-  /** It is over, and nothing more comes of it. */
+  /** Called once, when the attempt is over. */
   readonly over: (end: AttemptEnd | { readonly type: 'answered' }) => void;
 }
 
-/** An upstream's own failures: all others are the caller's matter. */
+/** Statuses from here on are failures of the upstream; lower ones are passed on to the caller. */
 const FIRST_FAILURE_STATUS = 500;
-const FIRST_NO_SUCCESS = 300;
-/** Another start than the one asked for answers so, or one that lacks the model. */
+const FIRST_NON_SUCCESS_STATUS = 300;
+/** Answered by another incarnation than the requested one, or by an upstream that lacks the model. */
 const WRONG_UPSTREAM_STATUS = 421;
 
-/** One request at one upstream, from its sending to its end there, and what that teaches of the upstream. */
+/** One attempt of a request at one upstream; updates what is known of the upstream by its outcome. */
 export class Attempt {
   private sent: Sent | undefined;
 
-  /** Between its sending and its end. */
+  /** True between sending and the end of the attempt. */
   private isUnderWay = false;
 
   private sentAtMs: Ms = 0;
 
-  /** Requests that were there when it was sent. */
+  /** Number of requests there when it was sent. */
   private sentLoad = 0;
 
   private lastEventAtMs: Ms | undefined;
 
-  /** It is a stream whose first event has not come. */
+  /** True for a stream whose first event has not arrived. */
   private isReading = false;
 
   constructor(private readonly options: AttemptOptions) {}
 
-  /** Sends it. The caller has chosen the upstream in this same moment. */
+  /** Sends the request. The upstream has to have been chosen at this very moment. */
   begin(call: Call): void {
-    const { serving, state, need, record, route } = this.options;
+    const { serving, state, target, record, route } = this.options;
     const { fleet, clock, link } = serving;
     const nowMs = clock.nowMs();
-    fleet.enter(state, nowMs, call.requestId);
+    fleet.recordSend(state, nowMs, call.requestId);
     let isChosenNow = true;
     const mayLeave = () => isChosenNow || this.options.mayLeave(nowMs);
     this.sent = link.send({ ...call, mayLeave }, this.receiver());
     isChosenNow = false;
     if (!this.sent) {
       this.note('no-connection');
-      fleet.learn(state, 'full', need, nowMs);
+      fleet.recordOutcome(state, 'full', target, nowMs);
       this.options.over({ type: 'not-run', wasSent: false });
       return;
     }
@@ -76,10 +75,10 @@
     state.inFlight += 1;
     this.isReading = route.kind === 'streaming';
     if (this.isReading) state.readingCount += 1;
-    serving.began(need);
+    serving.began(target);
   }
 
-  /** Ends it now, whatever the upstream does; true if it may have run. */
+  /** Cancels the attempt. Returns true if the upstream may have run it. */
   withdraw(outcome: string): boolean {
     const mayHaveRun = this.sent?.hasLeft ?? false;
     this.note(outcome);
@@ -88,7 +87,7 @@
     return mayHaveRun;
   }
 
-  /** Its caller takes more. */
+  /** Resumes reading: the caller accepts more data. */
   resume(): void {
     this.sent?.resume();
   }
@@ -96,52 +95,52 @@
   private receiver(): UpstreamReceiver {
     return {
       head: (head) => {
-        if (this.isUnderWay) this.took(head);
+        if (this.isUnderWay) this.onHead(head);
       },
       data: (chunk) => (this.isUnderWay ? this.data(chunk) : true),
       end: () => {
         if (this.isUnderWay) this.ended();
       },
       failed: (failure) => {
-        if (this.isUnderWay) this.failed(failure);
+        if (this.isUnderWay) this.onFailure(failure);
       },
     };
   }
 
-  private took(head: Head): void {
-    const { serving, state, need, record, route, reply } = this.options;
+  private onHead(head: Head): void {
+    const { serving, state, target, record, route, reply } = this.options;
     const { fleet, poison, gate, clock } = serving;
     const nowMs = clock.nowMs();
-    if (head.load) fleet.learnLoad(state, head.load, nowMs);
-    if (head.said) gate.hear(state.info, head.said);
+    if (head.load) fleet.recordLoad(state, head.load, nowMs);
+    if (head.said) gate.onAnswer(state.info, head.said);
     if (head.status !== WRONG_UPSTREAM_STATUS) poison.answered(state.info.id, this.sentAtMs);
     if (head.isNotRun) {
       this.notRun(head);
       return;
     }
     record.firstByteAtMs ??= nowMs;
-    if (need.model === undefined && head.status < FIRST_FAILURE_STATUS) {
-      fleet.learnService(state, nowMs - this.sentAtMs, this.sentLoad);
+    if (target.model === undefined && head.status < FIRST_FAILURE_STATUS) {
+      fleet.recordServiceTime(state, nowMs - this.sentAtMs, this.sentLoad);
     }
-    const isStream = route.kind === 'streaming' && head.status < FIRST_NO_SUCCESS;
+    const isStream = route.kind === 'streaming' && head.status < FIRST_NON_SUCCESS_STATUS;
     reply.take(head, { isStream, isResumable: route.isResumable });
   }
 
   private notRun(head: Head): void {
     this.leave();
     this.sent?.cancel();
-    this.learn(head.status === WRONG_UPSTREAM_STATUS ? 'missing' : 'full');
+    this.recordOutcome(head.status === WRONG_UPSTREAM_STATUS ? 'missing' : 'full');
     this.note(`not-run-${head.status}`);
     this.options.over({ type: 'not-run', wasSent: true });
   }
 
   private data(chunk: Buffer): boolean {
     const { route, reply } = this.options;
-    if (route.kind === 'streaming') this.learnGap();
+    if (route.kind === 'streaming') this.recordEvent();
     return reply.data(chunk);
   }
 
-  private learnGap(): void {
+  private recordEvent(): void {
     const { serving, state, record, route } = this.options;
     const { fleet } = serving;
     const { gapTargetMs } = route;
@@ -152,15 +151,15 @@
       state.streamCount += 1;
       state.readingCount -= 1;
       this.isReading = false;
-      fleet.learnFirst(state, nowMs - this.sentAtMs, nowMs);
+      fleet.recordFirstEvent(state, nowMs - this.sentAtMs, nowMs);
     }
     if (lastEventAtMs === undefined) return;
     const gapMs = nowMs - lastEventAtMs;
     record.longestGapMs = Math.max(record.longestGapMs, gapMs);
-    if (fleet.learnGap(state, gapMs, gapTargetMs, nowMs)) this.tellCut(gapMs, nowMs);
+    if (fleet.recordGap(state, gapMs, gapTargetMs, nowMs)) this.logCut(gapMs, nowMs);
   }
 
-  private tellCut(gapMs: Ms, nowMs: Ms): void {
+  private logCut(gapMs: Ms, nowMs: Ms): void {
     const { serving, state, route } = this.options;
     serving.log.info('engine limit cut', {
       requestId: this.options.reply.requestId,
@@ -177,30 +176,30 @@
     const { status } = reply;
     this.leave();
     const isFailure = status >= FIRST_FAILURE_STATUS;
-    this.learn(isFailure ? 'failed' : 'answered');
+    this.recordOutcome(isFailure ? 'failed' : 'answered');
     this.note(String(status));
-    if (!isFailure) suspicion.ranWell();
+    if (!isFailure) suspicion.recordCompletion();
     this.options.over({ type: isFailure && reply.isHeld ? 'failed' : 'answered' });
   }
 
-  private failed({ type, detail, mayHaveRun }: Failure): void {
+  private onFailure({ type, detail, mayHaveRun }: Failure): void {
     this.leave();
     this.note(type);
     if (type === 'request-withheld') {
       this.options.over({ type: 'not-run', wasSent: false });
       return;
     }
-    if (type === 'upstream-lost') this.brokeOff(detail);
-    this.learn(mayHaveRun ? 'failed' : 'unreachable');
+    if (type === 'upstream-lost') this.onConnectionLost(detail);
+    this.recordOutcome(mayHaveRun ? 'failed' : 'unreachable');
     this.options.over(mayHaveRun ? { type: 'broken' } : { type: 'not-run', wasSent: false });
   }
 
   /**
-   * The upstream may have ended, and this request may be why. It comes again under another id, maybe at another
-   * entry: what it asks is what it is known by.
+   * The upstream may have crashed, and this request may be the cause. A retry has another id and may reach another
+   * entry, so the request is identified by its content.
    */
-  private brokeOff(detail: string): void {
-    const { serving, state, need, suspicion, reply } = this.options;
+  private onConnectionLost(detail: string): void {
+    const { serving, state, target, suspicion, reply } = this.options;
     const { id: upstream, isLeaving } = state.info;
     const runMs = serving.clock.nowMs() - this.sentAtMs;
     serving.log.warn('run broke off', {
@@ -212,12 +211,12 @@
       isLeaving,
       detail,
     });
-    suspicion.brokeOff(state, need, runMs, serving.fleet);
+    suspicion.recordBreak(state, target, runMs, serving.fleet);
   }
 
-  private learn(lesson: Parameters<Serving['fleet']['learn']>[1]): void {
-    const { serving, state, need } = this.options;
-    serving.fleet.learn(state, lesson, need, serving.clock.nowMs());
+  private recordOutcome(outcome: Parameters<Serving['fleet']['recordOutcome']>[1]): void {
+    const { serving, state, target } = this.options;
+    serving.fleet.recordOutcome(state, outcome, target, serving.clock.nowMs());
   }
 
   private note(outcome: string): void {
@@ -226,14 +225,14 @@
     serving.attempted(outcome);
   }
 
-  /** It is at the upstream no more. */
+  /** Stops counting the request as in flight at the upstream. */
   private leave(): void {
-    const { serving, state, need } = this.options;
+    const { serving, state, target } = this.options;
     this.isUnderWay = false;
     state.inFlight -= 1;
     if (this.isReading) state.readingCount -= 1;
     else if (this.lastEventAtMs !== undefined) state.streamCount -= 1;
     this.isReading = false;
-    serving.left(need, serving.clock.nowMs() - this.sentAtMs);
+    serving.left(target, serving.clock.nowMs() - this.sentAtMs);
   }
 }
--- a/src/direct/run/eventcutter.ts
+++ b/src/direct/run/eventassembler.ts
@@ -1,12 +1,12 @@
 import { splitEvents } from '../../shell/engine/index.js';
 
-/** Passes only whole events of a stream, and knows the id of the last one passed. */
-export class EventCutter {
+/** Passes on only complete events of a stream, and keeps the id of the last one. */
+export class EventAssembler {
   private split = splitEvents();
 
   lastId: string | undefined;
 
-  /** What of the stream can go on now. */
+  /** Returns the complete events that a chunk finishes; undefined if there are none. */
   take(chunk: Buffer): Buffer | undefined {
     const pieces = this.split(chunk);
     const payloads: Buffer[] = [];
@@ -17,7 +17,7 @@
     return payloads.length > 0 ? Buffer.concat(payloads) : undefined;
   }
 
-  /** Forgets an event that did not arrive whole: it comes again from another upstream. */
+  /** Discards an incomplete event: another upstream sends it again. */
   restart(): void {
     this.split = splitEvents();
   }
--- a/src/direct/run/index.ts
+++ b/src/direct/run/index.ts
@@ -1,2 +1,2 @@
-/** A caller's request from its arrival to its end. */
+/** Runs an admitted request, from its first attempt to the end of its answer. */
 export { Run } from './run.js';
--- a/src/direct/run/reply.ts
+++ b/src/direct/run/reply.ts
@@ -1,37 +1,37 @@
 import type { RequestId } from '../../base/index.js';
 import type { UpstreamReceiver } from '../../port/index.js';
 import type { Caller } from '../caller.js';
-import { EventCutter } from './eventcutter.js';
+import { EventAssembler } from './eventassembler.js';
 
 type Head = Parameters<UpstreamReceiver['head']>[0];
 
-/** A plain answer up to this size is held until it is whole, so that one that breaks can be repeated. */
-const HELD_BYTES = 262_144;
+/** A plain answer up to this size is buffered until it is complete, so that a broken one can be repeated. */
+const MAX_HELD_BYTES = 262_144;
 
-/** How an upstream's answer goes on to its caller. */
-interface Manner {
+/** How an upstream's answer is passed on to its caller. */
+interface ReplyMode {
   readonly isStream: boolean;
-  /** Another upstream may go on where this one breaks off, so that only whole events are passed on. */
+  /** Another upstream may continue the stream after a break, so only complete events are passed on. */
   readonly isResumable: boolean;
 }
 
-/** What a caller has got, or will get, of the answers of one or more upstreams to its request. */
+/** The answer to one caller, assembled from the answers of one or more upstreams. */
 export class Reply {
-  /** True once the caller has seen anything of it. */
+  /** True once any part of it was sent to the caller. */
   hasBegun = false;
 
-  /** Version of the weights that made what the caller has; a continued stream needs the same. */
+  /** Version of the weights that produced the sent part; a stream has to be continued with the same weights. */
   weightsVersion: string | undefined;
 
   private head: Head | undefined;
 
-  private cutter: EventCutter | undefined;
+  private assembler: EventAssembler | undefined;
 
   private held: Buffer[] | undefined;
 
   private heldBytes = 0;
 
-  /** A failure that an upstream answered, to be given to the caller if a repeat gets no answer. */
+  /** A failure that an upstream answered, for the caller if no later attempt gets an answer. */
   private fallback: { head: Head; held: Buffer[] } | undefined;
 
   constructor(private readonly caller: Caller) {}
@@ -40,64 +40,64 @@
     return this.caller.request.id;
   }
 
-  /** Status of the answer that came last. */
+  /** Status of the last answer. */
   get status(): number {
     return this.head!.status;
   }
 
-  /** Id of the last event that the caller has, where its stream can be continued. */
+  /** Id of the last event that was sent to the caller, if the stream can be continued. */
   get lastEventId(): string | undefined {
-    return this.cutter?.lastId;
+    return this.assembler?.lastId;
   }
 
   get isHeld(): boolean {
     return this.held !== undefined;
   }
 
-  /** An upstream's answer begins. */
-  take(head: Head, { isStream, isResumable }: Manner): void {
+  /** Begins with the head of an upstream's answer. */
+  take(head: Head, { isStream, isResumable }: ReplyMode): void {
     this.head = head;
     if (!isStream) {
       this.held = [];
       return;
     }
     this.weightsVersion ??= head.weightsVersion;
-    // A stream that can be continued begins with its first event: until then another may answer.
+    // A resumable stream begins with its first event: until then another upstream may answer instead.
     if (!isResumable) this.begin();
-    else if (this.cutter) this.cutter.restart();
-    else this.cutter = new EventCutter();
+    else if (this.assembler) this.assembler.restart();
+    else this.assembler = new EventAssembler();
   }
 
-  /** Returns false while the caller takes no more. */
+  /** Passes on or buffers a chunk. Returns false while the caller accepts no more data. */
   data(chunk: Buffer): boolean {
     if (this.held) {
       this.held.push(chunk);
       this.heldBytes += chunk.length;
-      if (this.heldBytes > HELD_BYTES) this.release();
+      if (this.heldBytes > MAX_HELD_BYTES) this.release();
       return true;
     }
-    const payload = this.cutter ? this.cutter.take(chunk) : chunk;
+    const payload = this.assembler ? this.assembler.take(chunk) : chunk;
     if (!payload) return true;
     this.begin();
     return this.caller.write(payload);
   }
 
-  /** The request is sent on: what was held of this answer is only given if nothing better comes. */
-  putAside(isFailure: boolean): void {
+  /** Discards the buffered answer, as the request is sent on; a failure is kept in case no better answer arrives. */
+  setAside(isFailure: boolean): void {
     if (isFailure) this.fallback = { head: this.head!, held: this.held! };
     this.held = undefined;
     this.heldBytes = 0;
   }
 
-  /** Takes a failure that was put aside as the answer; false if there is none, or the caller has something else. */
-  takeBack(): boolean {
+  /** Restores a failure that was set aside as the answer; false if there is none, or another answer has begun. */
+  useFallback(): boolean {
     if (!this.fallback || this.hasBegun) return false;
     this.head = this.fallback.head;
     this.held = this.fallback.held;
     return true;
   }
 
-  /** The answer is whole. */
+  /** Completes the answer. */
   end(): void {
     if (this.held) this.release();
     else this.begin();
@@ -111,7 +111,7 @@
     this.caller.begin(status, headers, hasLength);
   }
 
-  /** Lets what was held go: it is whole, or has grown too large to be repeated. */
+  /** Sends the buffered answer: it is complete, or too large to be buffered further. */
   private release(): void {
     const { held } = this;
     this.held = undefined;
--- a/src/direct/run/run.ts
+++ b/src/direct/run/run.ts
@@ -10,76 +10,77 @@
 import type { Caller } from '../caller.js';
 import { quotaRefusal, type Admitted } from '../intake/index.js';
 import type { Refusal } from '../refusal.js';
-import type { Block, Need, UpstreamState } from '../route/index.js';
+import type { Block, Target, UpstreamState } from '../route/index.js';
 import type { Serving } from '../serving.js';
 import { Attempt } from './attempt.js';
 import { Reply } from './reply.js';
-import { roomWaitMs } from './roomwait.js';
+import { capacityWaitMs } from './capacitywait.js';
 import type { RunRecord } from './runrecord.js';
 import { Suspicion } from './suspicion.js';
 
-/** When a refused request may find a place again; a server's own queue empties within about this. */
-const COME_BACK_MS = 250;
-const MOST_COME_BACK_MS = 1000;
-/** Another entry takes the request at once. */
-const STOPPING_COME_BACK_MS = 20;
-const LOOK_FOR_ROOM_MS = 20;
-/** An upstream that was said to be ready may refuse; to be told of the same one again helps nobody. */
-const MOST_SEEKS = 4;
-/** One more than the largest hash. */
+/** Retry-after time of a refusal; the queue of an upstream empties within about this time. */
+const RETRY_AFTER_MS = 250;
+const MAX_RETRY_AFTER_MS = 1000;
+/** While this entry stops, another one accepts the request at once. */
+const STOPPING_RETRY_AFTER_MS = 20;
+/** Interval between checks for capacity. */
+const CAPACITY_CHECK_MS = 20;
+/** Bound of the searches by one request: an upstream reported as ready may refuse, and may then be found again. */
+const MAX_SEEKS = 4;
+/** Number of hash values. */
 const HASH_RANGE = 2 ** 32;
-/** Pause before upstreams that refused are asked once more; a few runs end within it. */
-const ROUND_PAUSE_MS = 50;
-/** A suspected request that runs elsewhere ends its upstream, or has run, within about this. */
-const SUSPECT_COME_BACK_MS = 1000;
-/** A run of the same request that ends well clears it for all; most take longer than this. */
-const LOOK_AT_VERDICT_MS = 50;
-
-/** What a request is told that the configuration stopped allowing while it waited. */
+/** Delay before upstreams that refused are tried again; a few runs end within it. */
+const NEXT_ROUND_MS = 50;
+/** A suspected request that runs elsewhere crashes its upstream or completes within about this time. */
+const SUSPECT_RETRY_AFTER_MS = 1000;
+/** Interval between checks whether a completed run has cleared the request; most runs take longer. */
+const VERDICT_CHECK_MS = 50;
+
+/** Refusals of requests that a new configuration stopped allowing while they waited. */
 const WITHDRAWN = {
   'route-unknown': { end: 'route-withdrawn', detail: 'The route was withdrawn.' },
   'key-unknown': { end: 'key-withdrawn', detail: 'The key was withdrawn.' },
   outdated: { end: 'outdated', detail: 'The configuration that this entry knows may be outdated.' },
 } as const;
 
-/** What a request is told for which every upstream is blocked. */
+/** Refusals of requests for which every upstream is blocked. */
 const BLOCKED = {
   limited: {
     end: 'upstreams-limited',
-    detail: 'Every upstream that could take the request has asked for fewer requests.',
+    detail: 'Every upstream that could run the request has reached its rate limit.',
   },
   paused: {
     end: 'upstreams-paused',
-    detail: 'Every upstream that could take the request wants nothing from this entry for a time.',
+    detail: 'Every upstream that could run the request has asked this entry for a backoff.',
   },
 } as const;
 
-/** Carries one caller's request through its attempts. */
+/** Runs one caller's request: chooses upstreams, waits for capacity and repeats attempts if needed. */
 export class Run {
   private readonly tried = new Set<UpstreamId>();
 
   private route: Route;
 
-  private need: Need | undefined;
+  private target: Target | undefined;
 
   /** The attempt under way. */
   private current: Attempt | undefined;
 
   private readonly reply: Reply;
 
-  /** True once every upstream that could take it has been asked. */
-  private hasComeRound = false;
+  /** True once every upstream that holds the target has been tried. */
+  private hasTriedAll = false;
 
   private isOver = false;
 
-  /** The holder of orders has been asked where the need is held. */
+  /** True once the order lease holder has been asked for an upstream that holds the target. */
   private hasSought = false;
 
   private seekCount = 0;
 
   private readonly suspicion: Suspicion;
 
-  /** The caller has been refused before. */
+  /** The request was refused before, and its caller retries. */
   private isReturn = false;
 
   private ranCount = 0;
@@ -142,13 +143,13 @@
     this.attempt();
   }
 
-  /** The process is about to end: what is not at an upstream gets its final answer. */
+  /** Refuses the request if it is not at an upstream: the process is about to end. */
   stopWaiting(): void {
     if (this.current || this.isOver) return;
-    this.giveUp('stopping', 'This entry is about to end.', STOPPING_COME_BACK_MS);
+    this.giveUp('stopping', 'This entry is about to end.', STOPPING_RETRY_AFTER_MS);
   }
 
-  /** The process ends: an answer of which nothing has come is not waited for, and a begun one breaks off. */
+  /** Ends the request because the process ends: it is refused, or cut if its answer has begun. */
   endNow(): void {
     this.abandon('stopping', 'This entry ended before an answer came.');
   }
@@ -168,12 +169,12 @@
     };
   }
 
-  /** Sends the request on, if an upstream can take it. */
+  /** Sends the request to an upstream that can run it; otherwise waits, searches or refuses. */
   private attempt(): void {
     if (this.isOver || this.isHeldBack()) return;
     const { caller, serving, clock } = this;
     const { request } = caller;
-    // After a standstill this may be called by a timer that came before the one that ends the request's time.
+    // After a stall of the event loop, the timer that calls this may fire before the one of the deadline.
     if (clock.nowMs() >= this.untilMs) {
       this.timeout();
       return;
@@ -191,31 +192,31 @@
       return;
     }
     const service = pickService(route, request.id);
-    this.need = { service, model: request.model, adapter: request.adapter };
+    this.target = { service, model: request.model, adapter: request.adapter };
     if (!serving.mayWait) {
       this.stopWaiting();
       return;
     }
     const nowMs = clock.nowMs();
-    // A need without a model has nowhere else to go; another may be brought to an upstream that is there.
-    const alsoLost = request.model === undefined || this.hasSought;
+    // A request without a model has no alternative to an upstream that may be lost; a model can be loaded elsewhere.
+    const includesLost = request.model === undefined || this.hasSought;
     const { isTrial } = this.suspicion;
-    const asker = request.id;
-    const choosing = { tried: this.tried, alsoLost, isTrial, asker };
-    const state = serving.fleet.choose(this.need, nowMs, choosing);
-    const block = state ? undefined : serving.fleet.blocked(this.need, nowMs, asker);
-    if (state && this.isOverfull(state, nowMs)) this.waitForRoom();
-    else if (state && this.isLineTooLong(state, nowMs)) this.waitInLine();
+    const requestId = request.id;
+    const choosing = { tried: this.tried, includesLost, isTrial, requestId };
+    const state = serving.fleet.choose(this.target, nowMs, choosing);
+    const block = state ? undefined : serving.fleet.blockFor(this.target, nowMs, requestId);
+    if (state && this.isAtLimit(state, nowMs)) this.waitForCapacity();
+    else if (state && this.isQueueTooLong(state, nowMs)) this.waitForQueue();
     else if (state && this.isToBePaced(state, nowMs)) this.pace();
     else if (state && !caller.isPresent) caller.whenPresent(() => this.attempt());
     else if (state) this.send(state, route);
-    else if (block && !this.mayBeBrought()) this.waitForTurn(block);
+    else if (block && !this.mayBeLoaded()) this.waitForSlot(block);
     else if (this.isHeldByTried(nowMs)) this.tryAgainLater();
-    else if (this.seekCount < MOST_SEEKS) this.seek();
+    else if (this.seekCount < MAX_SEEKS) this.seek();
     else this.tryAgainLater();
   }
 
-  /** The configuration no longer allows what it did when the request came. */
+  /** Refuses the request: the configuration has stopped allowing it. */
   private withdrawn(type: keyof typeof WITHDRAWN): void {
     const { end, detail } = WITHDRAWN[type];
     const isUntouched = this.ranCount === 0 && !this.reply.hasBegun;
@@ -223,7 +224,7 @@
     else this.giveUp(end, detail);
   }
 
-  /** One more run, or one whose payment lies too far back, takes from the quota before it is sent. */
+  /** Pays for a further run, or for one whose payment is too old, before it is sent. */
   private async payAgain(): Promise<void> {
     const taken = await this.admitted.charge.pay(this.ranCount);
     if (this.isOver) return;
@@ -236,19 +237,20 @@
     else this.refuse(status, type, detail, retryAfterMs);
   }
 
-  /** A request under which upstreams ended is not sent on, or only while it runs nowhere else. */
+  /** Returns true if the request may not be sent now, because upstreams crashed under the same content. */
   private isHeldBack(): boolean {
-    const standing = this.suspicion.standing();
-    if (standing === 'free') return false;
-    if (standing === 'ask-first') void this.tryAlone();
+    const permission = this.suspicion.permission();
+    if (permission === 'free') return false;
+    if (permission === 'ask-first') void this.beginTrial();
     else {
-      const detail = 'Upstreams ended each time they ran this request: it is not sent to one.';
-      this.giveUp('request-ends-upstreams', detail, this.suspicion.standsMs());
+      const detail = 'Upstreams crashed each time they ran this request, so it is not run again.';
+      this.giveUp('request-ends-upstreams', detail, this.suspicion.remainingMs());
     }
     return true;
   }
 
-  private async tryAlone(): Promise<void> {
+  /** Runs the request as a trial, if no other run of it is under way. */
+  private async beginTrial(): Promise<void> {
     const mayRun = await this.suspicion.begin();
     if (this.isOver) {
       this.suspicion.end();
@@ -258,31 +260,32 @@
       this.attempt();
       return;
     }
-    if (!this.reply.hasBegun && this.mayWaitForRoom()) {
-      this.clock.after(LOOK_AT_VERDICT_MS, () => this.attempt());
+    if (!this.reply.hasBegun && this.mayWaitForCapacity()) {
+      this.clock.after(VERDICT_CHECK_MS, () => this.attempt());
       return;
     }
-    const detail = 'An upstream ended under this request; it runs elsewhere now, or may.';
-    this.giveUp('request-suspected', detail, SUSPECT_COME_BACK_MS);
+    const detail =
+      'An upstream crashed under this request, and another run of it may be under way.';
+    this.giveUp('request-suspected', detail, SUSPECT_RETRY_AFTER_MS);
   }
 
-  /** An engine with a queue that a request of this urgency should not join: it would be answered too late. */
-  private isOverfull(state: UpstreamState, nowMs: Ms): boolean {
-    if (this.need!.model === undefined || this.ranCount > 0) return false;
-    // Another refusal would lose a caller that is back.
+  /** Returns true if a request of this urgency would be answered too late by an engine, which has reached its limit. */
+  private isAtLimit(state: UpstreamState, nowMs: Ms): boolean {
+    if (this.target!.model === undefined || this.ranCount > 0) return false;
+    // A caller that was refused once gives up after another refusal.
     const isUrgent = this.urgency.isFirst || this.isReturn;
     return this.serving.fleet.isFull(state, isUrgent, nowMs);
   }
 
-  /** A plain upstream at which one more request would be answered too late. */
-  private isLineTooLong(state: UpstreamState, nowMs: Ms): boolean {
-    if (this.need!.model !== undefined) return false;
+  /** Returns true if a plain upstream would answer one more request too late. */
+  private isQueueTooLong(state: UpstreamState, nowMs: Ms): boolean {
+    if (this.target!.model !== undefined) return false;
     const heldMs = nowMs - this.caller.request.arrivedAtMs;
     return !this.serving.fleet.mayJoin(state, heldMs, this.route.targetLatencyMs, nowMs);
   }
 
-  /** Until somebody can be answered in time, or nobody waits there; then the caller is told to come back. */
-  private waitInLine(): void {
+  /** Waits for a plain upstream with a shorter queue; refuses the request once it would be late anyway. */
+  private waitForQueue(): void {
     const { arrivedAtMs } = this.caller.request;
     const heldMs = this.clock.nowMs() - arrivedAtMs;
     const wholeMs = this.untilMs - arrivedAtMs;
@@ -291,10 +294,10 @@
       return;
     }
     const retryAfterMs = spreadRetryAfterMs(wholeMs - heldMs, this.place());
-    this.giveUp('upstreams-full', 'Every upstream has a line that is too long.', retryAfterMs);
+    this.giveUp('upstreams-full', 'The queue of every upstream is too long.', retryAfterMs);
   }
 
-  /** A prompt waits a little, while the engine reads others, if the target leaves time for that. */
+  /** Returns true if a prompt should wait while the engine processes others, as far as the target latency allows it. */
   private isToBePaced(state: UpstreamState, nowMs: Ms): boolean {
     const { kind, gapTargetMs, targetLatencyMs } = this.route;
     if (kind !== 'streaming' || this.reply.hasBegun) return false;
@@ -308,36 +311,36 @@
     this.clock.after(promptPaceRules.recheckMs, () => this.attempt());
   }
 
-  /** Waits as long as the target leaves time for; then the caller is told to come back. */
-  private waitForRoom(): void {
-    if (this.mayWaitForRoom()) {
-      this.clock.after(LOOK_FOR_ROOM_MS, () => this.attempt());
+  /** Waits as long as the target latency allows, then refuses the request. */
+  private waitForCapacity(): void {
+    if (this.mayWaitForCapacity()) {
+      this.clock.after(CAPACITY_CHECK_MS, () => this.attempt());
       return;
     }
     this.giveUp(
       'upstreams-full',
       'Every upstream that could take the request is full.',
-      this.comeBackMs(),
+      this.retryAfterMs(),
     );
   }
 
-  /** An adapter is brought to another upstream within milliseconds. */
-  private mayBeBrought(): boolean {
-    return this.need!.adapter !== undefined && !this.hasSought;
+  /** Returns true if the target can be loaded elsewhere in time: an adapter loads within milliseconds. */
+  private mayBeLoaded(): boolean {
+    return this.target!.adapter !== undefined && !this.hasSought;
   }
 
-  /** Every upstream that could run it takes nothing now: in line while it can be in time, else told when to come. */
-  private waitForTurn({ reason, opensInMs }: Block): void {
+  /** Every upstream that holds the target is blocked: waits for a slot while that can be in time, else refuses. */
+  private waitForSlot({ reason, opensInMs }: Block): void {
     const { serving, clock } = this;
-    const need = this.need!;
+    const target = this.target!;
     const nowMs = clock.nowMs();
-    // A stream that has begun would be cut.
-    const waitMs = this.reply.hasBegun ? this.untilMs - nowMs : this.roomLeftMs();
+    // A stream that has begun waits until its deadline: a refusal would cut it.
+    const waitMs = this.reply.hasBegun ? this.untilMs - nowMs : this.remainingWaitMs();
     const isKnown = Number.isFinite(opensInMs);
     if (waitMs <= 0 || (isKnown && opensInMs > waitMs)) {
-      const afterMs = Math.max(COME_BACK_MS, isKnown ? opensInMs : 0);
+      const afterMs = Math.max(RETRY_AFTER_MS, isKnown ? opensInMs : 0);
       const { end, detail } = BLOCKED[reason];
-      const spreadMs = this.place() * Math.min(afterMs, MOST_COME_BACK_MS);
+      const spreadMs = this.place() * Math.min(afterMs, MAX_RETRY_AFTER_MS);
       this.giveUp(end, detail, Math.round(afterMs + spreadMs));
       return;
     }
@@ -346,59 +349,60 @@
       rank: this.urgency.rank,
       waitMs: Math.max(0, waitMs - rateRules.minUsableMs),
     };
-    serving.fleet.waitFor(need, ask, nowMs);
-    this.record.blockedMs += LOOK_FOR_ROOM_MS;
-    serving.waiting(need, 1);
-    clock.after(LOOK_FOR_ROOM_MS, () => {
-      serving.waiting(need, -1);
+    serving.fleet.requestSlot(target, ask, nowMs);
+    this.record.blockedMs += CAPACITY_CHECK_MS;
+    serving.waiting(target, 1);
+    clock.after(CAPACITY_CHECK_MS, () => {
+      serving.waiting(target, -1);
       this.attempt();
     });
   }
 
-  /** From 0 to 1: parts requests that would otherwise come back together. */
+  /** Returns a number from 0 to 1 by the request id. It spreads the retries of requests refused at the same time. */
   private place(): number {
     return hash32(this.caller.request.id) / HASH_RANGE;
   }
 
-  /** Whether its time still leaves room for waiting, rather than for another try. */
-  private mayWaitForRoom(): boolean {
-    return this.roomLeftMs() > 0;
+  /** Returns true while the target latency leaves time for waiting. */
+  private mayWaitForCapacity(): boolean {
+    return this.remainingWaitMs() > 0;
   }
 
-  private roomLeftMs(): Ms {
+  private remainingWaitMs(): Ms {
     const { arrivedAtMs } = this.caller.request;
     const targetMs = this.route.targetLatencyMs;
     const wholeMs = this.untilMs - arrivedAtMs;
-    const waitMs = roomWaitMs({ targetMs, wholeMs, isReturn: this.isReturn });
+    const waitMs = capacityWaitMs({ targetMs, wholeMs, isReturn: this.isReturn });
     return waitMs - (this.clock.nowMs() - arrivedAtMs);
   }
 
+  /** Returns true if an upstream that was tried already, and is not lost, holds the target. */
   private isHeldByTried(nowMs: Ms): boolean {
-    return this.serving.fleet.choose(this.need!, nowMs, { alsoLost: false }) !== undefined;
+    return this.serving.fleet.choose(this.target!, nowMs, { includesLost: false }) !== undefined;
   }
 
-  /** All that hold what it needs refused it or could not be reached: they may be asked once more. */
+  /** All upstreams that hold the target refused it or were unreachable: tries each of them once more. */
   private tryAgainLater(): void {
-    if (this.ranCount > 0 || this.hasComeRound) {
-      this.giveUp('upstreams-full', 'No upstream could take the request.', this.comeBackMs());
+    if (this.ranCount > 0 || this.hasTriedAll) {
+      this.giveUp('upstreams-full', 'No upstream could take the request.', this.retryAfterMs());
       return;
     }
-    this.hasComeRound = true;
+    this.hasTriedAll = true;
     this.tried.clear();
-    this.clock.after(ROUND_PAUSE_MS, () => this.attempt());
+    this.clock.after(NEXT_ROUND_MS, () => this.attempt());
   }
 
-  /** A full upstream has room again when some of its requests have ended: longer for long streams. */
-  private comeBackMs(): Ms {
-    if (this.need?.model !== undefined) {
+  /** Returns the retry-after time of a full upstream. Long streams take longer to end, so theirs is longer. */
+  private retryAfterMs(): Ms {
+    if (this.target?.model !== undefined) {
       return spreadRetryAfterMs(this.untilMs - this.clock.nowMs(), this.place());
     }
-    return Math.max(COME_BACK_MS, Math.min(MOST_COME_BACK_MS, this.route.targetLatencyMs));
+    return Math.max(RETRY_AFTER_MS, Math.min(MAX_RETRY_AFTER_MS, this.route.targetLatencyMs));
   }
 
-  /** No upstream holds what the request needs: asks for it to be made ready. */
+  /** Has the target found or loaded: no known upstream holds it. */
   private seek(): void {
-    const need = this.need!;
+    const target = this.target!;
     const { request } = this.caller;
     const nowMs = this.clock.nowMs();
     const waiter = {
@@ -409,7 +413,7 @@
     };
     this.hasSought = true;
     this.seekCount += 1;
-    void this.serving.seek(need, waiter).then((found) => {
+    void this.serving.seek(target, waiter).then((found) => {
       if (this.isOver) return;
       if (found.type === 'ready') this.attempt();
       else this.giveUp(found.reason, found.detail, found.retryAfterMs);
@@ -418,16 +422,16 @@
 
   private send(state: UpstreamState, route: Route): void {
     const { serving, reply, suspicion, record } = this;
-    const need = this.need!;
+    const target = this.target!;
     const over = (end: AttemptEnd | { readonly type: 'answered' }) => this.attemptOver(end);
     const mayLeave = (chosenAtMs: Ms) => this.mayLeave(state, chosenAtMs);
-    const options = { serving, suspicion, reply, record, route, need, state, mayLeave, over };
+    const options = { serving, suspicion, reply, record, route, target, state, mayLeave, over };
     this.tried.add(state.info.id);
     this.current = new Attempt(options);
     this.current.begin(this.callTo(state));
   }
 
-  /** Whether what was asked when the upstream was chosen still holds: a connection may have opened since then. */
+  /** Checks again, once a connection is open, what was checked when the upstream was chosen. */
   private mayLeave(state: UpstreamState, chosenAtMs: Ms): boolean {
     const { serving, admitted, clock } = this;
     const nowMs = clock.nowMs();
@@ -435,7 +439,7 @@
       nowMs < this.untilMs &&
       serving.judge(admitted.caller.request)?.type === 'allowed' &&
       admitted.charge.covers(this.ranCount);
-    if (mayRun && serving.fleet.mayEnter(state, chosenAtMs, nowMs)) return true;
+    if (mayRun && serving.fleet.maySend(state, chosenAtMs, nowMs)) return true;
     this.log.info('request withheld', {
       requestId: admitted.caller.request.id,
       upstream: state.info.id,
@@ -493,7 +497,7 @@
       return;
     }
     if (step.type === 'again' || step.type === 'resume') {
-      this.reply.putAside(end.type === 'failed');
+      this.reply.setAside(end.type === 'failed');
       this.attempt();
       return;
     }
@@ -502,11 +506,11 @@
 
   private stopTrying(end: AttemptEnd): void {
     if (end.type === 'failed') this.finish();
-    else this.giveUp('upstream-failed', 'No upstream gave an answer.', COME_BACK_MS);
+    else this.giveUp('upstream-failed', 'No upstream gave an answer.', RETRY_AFTER_MS);
   }
 
   private giveUp(type: string, detail: string, retryAfterMs?: Ms): void {
-    if (this.reply.takeBack()) {
+    if (this.reply.useFallback()) {
       this.finish();
       return;
     }
@@ -516,7 +520,7 @@
       return;
     }
     if (this.ranCount > 0) this.refuse(502, type, detail);
-    else this.refuse(503, type, detail, retryAfterMs ?? COME_BACK_MS);
+    else this.refuse(503, type, detail, retryAfterMs ?? RETRY_AFTER_MS);
   }
 
   private refuse(status: number, type: string, detail: string, retryAfterMs?: Ms): void {
@@ -530,7 +534,7 @@
     this.abandon('timeout', 'No answer came in time.');
   }
 
-  /** Ends the request now, with an attempt that is under way; it may have run. */
+  /** Ends the request now, with the attempt under way, which may have run. */
   private abandon(type: string, detail: string): void {
     if (this.isOver) return;
     if (this.withdraw(type)) this.ranCount += 1;
@@ -540,10 +544,10 @@
       return;
     }
     if (this.ranCount > 0) this.refuse(504, type, detail);
-    else this.refuse(503, type, detail, COME_BACK_MS);
+    else this.refuse(503, type, detail, RETRY_AFTER_MS);
   }
 
-  /** Cancels the attempt under way, if there is one, and names it in the request's log line; true if it may have run. */
+  /** Cancels the attempt under way, if any, and notes it in the request's log line. Returns true if it may have run. */
   private withdraw(outcome: string): boolean {
     const { current } = this;
     this.current = undefined;
@@ -575,7 +579,7 @@
       version: this.serving.table?.version,
       customer: this.admitted.customer?.id,
       cost: this.admitted.charge.cost,
-      service: this.need?.service,
+      service: this.target?.service,
       model: request.model,
       adapter: request.adapter,
       attempts: record.attempts,
@@ -586,7 +590,7 @@
       longestGapMs: Math.round(record.longestGapMs),
       totalMs: since(nowMs),
       isReturn: this.isReturn,
-      ...this.suspicion.told(end === 'request-ends-upstreams'),
+      ...this.suspicion.logFields(end === 'request-ends-upstreams'),
       retryAfterMs,
     });
     this.over();
--- a/src/direct/run/runrecord.ts
+++ b/src/direct/run/runrecord.ts
@@ -1,14 +1,14 @@
 import type { Ms } from '../../base/index.js';
 
-/** What a request's log line tells of its way, noted while it runs. Times are readings of the clock. */
+/** Data for a request's log line, collected while the request runs. Points in time are readings of the clock. */
 export interface RunRecord {
   /** Upstream and outcome of each attempt, in order. */
   readonly attempts: string[];
   firstSentAtMs: Ms | undefined;
   firstByteAtMs: Ms | undefined;
   longestGapMs: Ms;
-  /** How long it waited while engines read other prompts. */
+  /** Time spent waiting while engines processed other prompts. */
   pacedMs: Ms;
-  /** How long it waited for its turn at upstreams that take nothing now. */
+  /** Time spent waiting for upstreams that are rate limited or paused. */
   blockedMs: Ms;
 }
--- a/src/direct/run/suspicion.ts
+++ b/src/direct/run/suspicion.ts
@@ -1,36 +1,36 @@
 import type { ContentId, Ms } from '../../base/index.js';
 import type { Caller } from '../caller.js';
-import type { PoisonDesk } from '../poison/index.js';
-import type { Fleet, Need, UpstreamState } from '../route/index.js';
-import { contentOf } from './contentof.js';
+import type { PoisonGuard } from '../poison/index.js';
+import type { Fleet, Target, UpstreamState } from '../route/index.js';
+import { contentIdOf } from './contentidof.js';
 
 /** Whether a request may be sent to an upstream. */
-type Standing =
+type Permission =
   | 'free'
-  /** An upstream ended under it before: the holder of orders is asked whether it may run now. */
+  /** An upstream crashed under it before: the order lease holder has to permit the run. */
   | 'ask-first'
-  /** It ends the upstreams that run it. */
+  /** It crashes the upstreams that run it. */
   | 'barred';
 
-/** One request's standing after ends of upstreams under what it asks, on this entry or another. */
+/** Whether one request is suspected, because upstreams crashed under the same content at any entry. */
 export class Suspicion {
-  /** Made when it is first needed: on most days no request is suspected. */
-  private named: ContentId | undefined;
+  /** Computed when first needed: usually no request is suspected. */
+  private contentId: ContentId | undefined;
 
-  /** It was allowed to run: it does so now, and nowhere else. */
+  /** True while the request runs as a trial, which excludes other runs of it. */
   isTrial = false;
 
   constructor(
-    private readonly poison: PoisonDesk,
+    private readonly poison: PoisonGuard,
     private readonly request: Caller['request'],
   ) {}
 
   get content(): ContentId {
-    this.named ??= contentOf(this.request);
-    return this.named;
+    this.contentId ??= contentIdOf(this.request);
+    return this.contentId;
   }
 
-  standing(): Standing {
+  permission(): Permission {
     const { poison } = this;
     if (poison.isIdle) return 'free';
     const verdict = poison.verdict(this.content);
@@ -38,40 +38,40 @@
     return verdict === 'sound' || this.isTrial ? 'free' : 'ask-first';
   }
 
-  /** How long it is barred yet. */
-  standsMs(): Ms {
-    return this.poison.standsMs(this.content);
+  /** Returns how long it is still barred. */
+  remainingMs(): Ms {
+    return this.poison.verdictRemainingMs(this.content);
   }
 
-  /** Asks whether it may run now. */
+  /** Asks for permission to run it as a trial. */
   async begin(): Promise<boolean> {
-    this.isTrial = await this.poison.begin(this.content);
+    this.isTrial = await this.poison.beginTrial(this.content);
     return this.isTrial;
   }
 
-  /** It runs no more. */
+  /** Ends the trial, if there is one. */
   end(): void {
     if (this.isTrial) this.poison.end(this.content);
   }
 
-  /** What a request's log line says of it: nothing for most. */
-  told(isBarred: boolean): { readonly isTrial?: boolean; readonly content?: ContentId } {
+  /** Returns fields for the request's log line: none for most requests. */
+  logFields(isBarred: boolean): { readonly isTrial?: boolean; readonly content?: ContentId } {
     if (!this.isTrial && !isBarred) return {};
     return { isTrial: this.isTrial, content: this.content };
   }
 
-  /** An upstream gave a whole answer of its own. */
-  ranWell(): void {
-    if (!this.poison.isIdle) this.poison.ranWell(this.content);
+  /** Records that an upstream gave a complete answer without a failure of its own. */
+  recordCompletion(): void {
+    if (!this.poison.isIdle) this.poison.recordCompletion(this.content);
   }
 
-  /** An upstream closed the connection under it; one that was about to leave, or has left the list, ended as planned. */
-  brokeOff(state: UpstreamState, need: Need, runMs: Ms, fleet: Fleet): void {
+  /** Records a lost connection as a crash. If the upstream was leaving or has left the list, its end was planned. */
+  recordBreak(state: UpstreamState, target: Target, runMs: Ms, fleet: Fleet): void {
     const { id: upstream, isLeaving } = state.info;
     if (isLeaving || fleet.get(upstream) !== state) return;
     const [path = ''] = this.request.path.split('?');
-    const { service, model } = need;
+    const { service, model } = target;
     const { content, isTrial } = this;
-    this.poison.crashed({ content, service, model, path, upstream, runMs, isTrial });
+    this.poison.recordCrash({ content, service, model, path, upstream, runMs, isTrial });
   }
 }
--- a/src/direct/seeker.ts
+++ b/src/direct/seeker.ts
@@ -2,7 +2,7 @@
 import { holdOrRefuse, type ResidencyWait } from '../core/residencywait/index.js';
 import type { Log } from '../port/index.js';
 import type { DemandMeter, FindAnswer } from './orders/index.js';
-import { holds, type Fleet, type Need } from './route/index.js';
+import { has, type Fleet, type Target } from './route/index.js';
 import type { Serving } from './serving.js';
 
 type SeekResult = Awaited<ReturnType<Serving['seek']>>;
@@ -14,7 +14,7 @@
   readonly fleet: Fleet;
   readonly meter: DemandMeter;
   /** Asks the order lease holder; undefined if it cannot be reached. */
-  ask(need: Need): Promise<FindAnswer | undefined>;
+  ask(need: Target): Promise<FindAnswer | undefined>;
   /** How long until another process may send orders if the holder cannot be reached. */
   ordersInMs(): Ms;
 }
@@ -52,7 +52,7 @@
 
   constructor(private readonly options: SeekerOptions) {}
 
-  async seek(need: Need, waiter: Waiter): Promise<SeekResult> {
+  async seek(need: Target, waiter: Waiter): Promise<SeekResult> {
     const { clock, meter } = this.options;
     if (need.model === undefined) {
       const detail = `No upstream of ${need.service} can be chosen.`;
@@ -64,7 +64,7 @@
     return result;
   }
 
-  private async wait(need: Need, waiter: Waiter, startedAtMs: Ms): Promise<SeekResult> {
+  private async wait(need: Target, waiter: Waiter, startedAtMs: Ms): Promise<SeekResult> {
     const { clock } = this.options;
     for (;;) {
       const found = await this.ask(need);
@@ -88,7 +88,7 @@
     }
   }
 
-  private isReady(need: Need, found: FindAnswer | undefined): boolean {
+  private isReady(need: Target, found: FindAnswer | undefined): boolean {
     if (found?.type === 'ready') {
       const state = this.options.fleet.get(found.upstream);
       if (state && !state.info.isLeaving) {
@@ -99,17 +99,17 @@
     return this.isLoaded(need);
   }
 
-  private isLoaded(need: Need): boolean {
+  private isLoaded(need: Target): boolean {
     const { fleet, clock } = this.options;
     const nowMs = clock.nowMs();
-    for (const state of fleet.of(need.service)) {
-      if (!state.info.isLeaving && holds(state, need, nowMs)) return true;
+    for (const state of fleet.upstreamsOf(need.service)) {
+      if (!state.info.isLeaving && has(state, need, nowMs)) return true;
     }
     return false;
   }
 
   /** Asks the holder. Requests with the same target share a call and reuse a recent answer. */
-  private ask(need: Need): Promise<FindAnswer | undefined> {
+  private ask(need: Target): Promise<FindAnswer | undefined> {
     const key = `${need.service}/${need.model}/${need.adapter ?? ''}`;
     const known = this.pending.get(key);
     if (known) return known;
--- a/src/direct/selfreport/index.ts
+++ b/src/direct/selfreport/index.ts
@@ -1,7 +1,7 @@
-/** What upstreams say of themselves in their answers, as entries keep it, heed it and tell each other. */
+/** State that upstreams report of themselves in answers: how entries keep it, obey it and share it. */
 export type { SlotAnswer } from './slotanswer.js';
-export type { SlotQuestion } from './slotquestion.js';
-export { SlotBook } from './slotbook.js';
-export { SlotDesk } from './slotdesk.js';
-export type { StandingNews } from './standingnews.js';
+export type { SlotRequest } from './slotrequest.js';
+export { SlotSchedule } from './slotschedule.js';
+export { SlotClient } from './slotclient.js';
+export type { ReportedStateUpdate } from './reportedstateupdate.js';
 export { UpstreamGate } from './upstreamgate.js';
--- a/src/direct/selfreport/slotanswer.ts
+++ b/src/direct/selfreport/slotanswer.ts
@@ -1,11 +1,11 @@
 import type { Ms } from '../../base/index.js';
 
-/** What the holder says to a question for a slot. */
+/** The holder's answer to a request for a slot. */
 export type SlotAnswer =
   /** One request may be sent now. */
   | { readonly type: 'granted' }
-  /** Others come first, for about so long. */
+  /** Other requests come first; asking again is of no use before about `inMs`. */
   | { readonly type: 'later'; readonly inMs: Ms }
-  /** It knows of no limit any more. */
+  /** The upstream has no limit any more. */
   | { readonly type: 'unlimited' }
   | { readonly type: 'not-holder' };
--- a/src/direct/selfreport/slotline.ts
+++ b/src/direct/selfreport/slotqueue.ts
@@ -2,43 +2,42 @@
 import { rateRules, slotIntervalMs } from '../../core/sharedrate/index.js';
 import type { SlotAnswer } from './slotanswer.js';
 
-/** A question that waits for its slot. */
+/** A request for a slot that waits in the queue. */
 interface Waiter {
   readonly rank: number;
   readonly untilMs: Ms;
-  readonly answer: (said: SlotAnswer) => void;
+  readonly answer: (reply: SlotAnswer) => void;
 }
 
-/** What a line stands on. */
-interface SlotLineOptions {
+interface SlotQueueOptions {
   readonly clock: Clock;
-  /** Part of the rate that this process may give out now: 0 at all but the holder. */
+  /** Fraction of the rate that this process may grant now: 0 unless it is the holder. */
   readonly share: () => number;
 }
 
-/** Those who wait for the slots of one upstream: the most urgent first, and among them the one that came first. */
-export class SlotLine {
+/** Waiting requests for slots of one upstream, served by urgency and then in order of arrival. */
+export class SlotQueue {
   private readonly waiters: Waiter[] = [];
 
   private forgetTimer = () => {};
 
   constructor(
-    private readonly options: SlotLineOptions,
+    private readonly options: SlotQueueOptions,
     private perS: number,
     private nextAtMs: Ms,
   ) {}
 
-  /** The upstream has named another rate. */
+  /** Sets a new rate. */
   rate(perS: number): void {
     this.perS = perS;
   }
 
-  /** No slot lies before then. */
+  /** Grants no slot before then. */
   notBefore(atMs: Ms): void {
     this.nextAtMs = Math.max(this.nextAtMs, atMs);
   }
 
-  /** Answers when there is a slot for it, or when it is of no use any more. */
+  /** Waits for a slot. Resolves when it is granted, or when the waiting time is over. */
   ask(rank: number, waitMs: Ms): Promise<SlotAnswer> {
     const untilMs = this.options.clock.nowMs() + waitMs;
     return new Promise((resolve) => {
@@ -48,13 +47,13 @@
     });
   }
 
-  /** Sends all away: another process gives the slots out, or the limit is over. */
-  close(said: SlotAnswer): void {
+  /** Answers all waiters at once: another process grants the slots now, or the limit was lifted. */
+  close(reply: SlotAnswer): void {
     this.forgetTimer();
-    for (const { answer } of this.waiters.splice(0)) answer(said);
+    for (const { answer } of this.waiters.splice(0)) answer(reply);
   }
 
-  /** Hands out what is due, sends away whose time is over, and looks again when something changes next. */
+  /** Grants the slots that are due, answers waiters whose time is over, and schedules the next call. */
   private serve(): void {
     const nowMs = this.options.clock.nowMs();
     const share = this.options.share();
@@ -62,17 +61,17 @@
       for (const { answer } of this.waiters.splice(0)) answer({ type: 'not-holder' });
       return;
     }
-    this.sendAway(nowMs);
+    this.rejectExpired(nowMs);
     while (nowMs >= this.nextAtMs && this.waiters.length > 0) {
-      this.takeFirst().answer({ type: 'granted' });
-      // A timer that is late must not cost slots; a time in which nobody asked does.
+      this.takeMostUrgent().answer({ type: 'granted' });
+      // Slots that are due make up for a late timer; slots of a time without requests are lost.
       const dueAtMs = Math.max(this.nextAtMs, nowMs - rateRules.maxLatenessMs);
       this.nextAtMs = dueAtMs + slotIntervalMs(this.perS) / share;
     }
-    this.look(nowMs);
+    this.schedule(nowMs);
   }
 
-  private sendAway(nowMs: Ms): void {
+  private rejectExpired(nowMs: Ms): void {
     const late = this.waiters.filter(({ untilMs }) => untilMs < nowMs);
     for (const waiter of late) {
       this.waiters.splice(this.waiters.indexOf(waiter), 1);
@@ -80,7 +79,7 @@
     }
   }
 
-  private look(nowMs: Ms): void {
+  private schedule(nowMs: Ms): void {
     this.forgetTimer();
     if (this.waiters.length === 0) return;
     const ends = this.waiters.map(({ untilMs }) => untilMs + 1);
@@ -88,7 +87,7 @@
     this.forgetTimer = this.options.clock.after(inMs, () => this.serve());
   }
 
-  private takeFirst(): Waiter {
+  private takeMostUrgent(): Waiter {
     let first = 0;
     for (const [at, { rank }] of this.waiters.entries()) {
       if (rank < this.waiters[first]!.rank) first = at;
@@ -96,12 +95,12 @@
     return this.waiters.splice(first, 1)[0]!;
   }
 
-  /** Those who asked in vain come again when the line before them may have been served. */
+  /** Returns the answer for a waiter that gets no slot: it may retry when the queue before it may have been served. */
   private later(): SlotAnswer {
     const { minBackoffMs: leastPauseMs, maxBackoffMs: mostPauseMs } = rateRules;
-    const freeInMs = this.nextAtMs - this.options.clock.nowMs();
-    const lineMs = this.waiters.length * slotIntervalMs(this.perS);
-    const pauseMs = Math.min(mostPauseMs, Math.max(leastPauseMs, freeInMs + lineMs));
-    return { type: 'later', inMs: Math.round(pauseMs) };
+    const nextInMs = this.nextAtMs - this.options.clock.nowMs();
+    const queueMs = this.waiters.length * slotIntervalMs(this.perS);
+    const delayMs = Math.min(mostPauseMs, Math.max(leastPauseMs, nextInMs + queueMs));
+    return { type: 'later', inMs: Math.round(delayMs) };
   }
 }
--- a/src/direct/selfreport/upstreamgate.ts
+++ b/src/direct/selfreport/upstreamgate.ts
@@ -1,112 +1,114 @@
 import type { Clock, Ms, UpstreamId } from '../../base/index.js';
 import { rateRules } from '../../core/sharedrate/index.js';
-import type { Standing } from '../../core/selfreport/index.js';
+import type { ReportedState } from '../../core/selfreport/index.js';
 import type { Upstream } from '../../core/upstreams/index.js';
 import type { Log, Metrics, SelfReport } from '../../port/index.js';
-import type { Block, Gate, SlotAsk } from '../route/index.js';
+import type { Block, Gate, SlotWaiter } from '../route/index.js';
 import type { SlotAnswer } from './slotanswer.js';
-import { SlotBook } from './slotbook.js';
-import { SlotDesk } from './slotdesk.js';
-import type { SlotQuestion } from './slotquestion.js';
-import type { StandingNews } from './standingnews.js';
-import { Standings } from './standings.js';
+import { SlotSchedule } from './slotschedule.js';
+import { SlotClient } from './slotclient.js';
+import type { SlotRequest } from './slotrequest.js';
+import type { ReportedStateUpdate } from './reportedstateupdate.js';
+import { ReportedStates } from './reportedstates.js';
 
-/** What the gate of an entry stands on. */
 interface UpstreamGateOptions {
   readonly entry: string;
   readonly clock: Clock;
   readonly log: Log;
   readonly metrics: Metrics;
-  /** Part of each limit that this process may give out now: 0 at all but the holder. */
+  /** Fraction of each limit that this process may grant now: 0 unless it is the holder. */
   readonly share: () => number;
-  /** Asks the holder for slots; undefined without an answer. */
-  readonly draw: (question: SlotQuestion) => Promise<SlotAnswer | undefined>;
-  /** Requests that this entry has sent there of late. */
-  readonly sentLately: (upstream: UpstreamId) => number;
-  /** Other entries are to hear soon of what an answer has just told. */
+  /** Asks the holder for a slot; undefined without an answer. */
+  readonly draw: (question: SlotRequest) => Promise<SlotAnswer | undefined>;
+  /** Returns the number of requests that this entry has sent there in the last window. */
+  readonly recentSends: (upstream: UpstreamId) => number;
+  /** Called when an answer has changed a state that other entries should learn soon. */
   readonly heard: () => void;
-  /** An upstream has said that it leaves. */
-  readonly leaves: (upstream: UpstreamId) => void;
+  /** Called when an upstream has reported that it leaves. */
+  readonly upstreamLeaving: (upstream: UpstreamId) => void;
 }
 
-/** A limit that falls below this part of what it was is kept as a new one. */
+/** A limit that falls below this fraction of the previous one is treated as a new limit. */
 const LOWER_SHARE = 0.8;
 
 /**
- * Whether a request may be sent to an upstream now, by what that has said of itself. It is asked before each send,
- * whichever way the upstream was chosen.
+ * Decides by an upstream's reported state whether a request may be sent to it now. It is consulted before each send,
+ * however the upstream was chosen.
  */
 export class UpstreamGate implements Gate {
-  private readonly standings: Standings;
+  private readonly standings: ReportedStates;
 
-  private readonly desk: SlotDesk;
+  private readonly client: SlotClient;
 
-  private readonly book: SlotBook;
+  private readonly book: SlotSchedule;
 
   constructor(private readonly options: UpstreamGateOptions) {
     const { clock, log, share } = options;
-    this.standings = new Standings(clock, log);
-    this.book = new SlotBook({ clock, share });
-    this.desk = new SlotDesk({ clock, draw: (upstream, ask) => this.draw(upstream, ask) });
+    this.standings = new ReportedStates(clock, log);
+    this.book = new SlotSchedule({ clock, share });
+    this.client = new SlotClient({
+      clock,
+      draw: (upstream, ask) => this.draw(upstream, ask),
+    });
   }
 
-  /** The head of an answer to a request of this entry's. */
-  hear(upstream: Upstream, said: SelfReport): void {
+  /** Takes in the report in the head of an answer to a request of this entry. */
+  onAnswer(upstream: Upstream, report: SelfReport): void {
     const before = this.standings.of(upstream);
-    const after = this.standings.hear(upstream, said);
+    const after = this.standings.applyAnswer(upstream, report);
     if (after === before) return;
     this.changed(upstream.id, before, after);
-    const isNews = after.ratePerS !== before.ratePerS || after.isLeaving !== before.isLeaving;
-    if (isNews) this.options.heard();
+    const hasNews = after.ratePerS !== before.ratePerS || after.isLeaving !== before.isLeaving;
+    if (hasNews) this.options.heard();
   }
 
   /**
-   * An entry of the list with what its upstream has said since. A start that leaves stays so, however the list has it: the
-   * list may be seconds older than an answer, and minutes while the store is away.
+   * Returns a list record with the upstream's reported state applied. An incarnation that leaves keeps leaving,
+   * whatever the list says: the list may be seconds older than an answer, and minutes during an outage of the store.
    */
-  told(upstream: Upstream): Upstream {
+  withReportedState(upstream: Upstream): Upstream {
     if (upstream.isLeaving || !this.standings.of(upstream).isLeaving) return upstream;
     return { ...upstream, isLeaving: true };
   }
 
-  // What a choice asks.
+  // Used when an upstream is chosen.
 
-  blockOf(upstream: Upstream, nowMs: Ms, asker?: string): Block | undefined {
+  blockOf(upstream: Upstream, nowMs: Ms, requestId?: string): Block | undefined {
     const { pausedUntilMs, ratePerS } = this.standings.of(upstream);
-    // One that is merely asked last gets its requests back whenever the others are busy.
+    // A pause blocks the upstream: one that is only ranked last still gets requests whenever the others are busy.
     if (pausedUntilMs > nowMs) return { reason: 'paused', opensInMs: pausedUntilMs - nowMs };
     if (ratePerS === undefined) return undefined;
-    const opensInMs = this.desk.opensInMs(upstream.id, nowMs, asker);
+    const opensInMs = this.client.opensInMs(upstream.id, nowMs, requestId);
     return opensInMs > 0 ? { reason: 'limited', opensInMs } : undefined;
   }
 
-  isLetIn(upstream: Upstream, enteredAtMs: Ms, nowMs: Ms): boolean {
+  maySend(upstream: Upstream, enteredAtMs: Ms, nowMs: Ms): boolean {
     const { pausedUntilMs, ratePerS } = this.standings.of(upstream);
     if (pausedUntilMs > nowMs) return false;
     if (ratePerS === undefined) return true;
-    // A slot is for about now, and one of a limit that has fallen since then is void.
+    // A slot is valid only briefly, and not after the limit has been lowered.
     const isOfThisLimit = enteredAtMs >= this.standings.limitedAtMs(upstream.id);
     return isOfThisLimit && nowMs - enteredAtMs <= rateRules.validMs;
   }
 
-  wanted(upstreams: readonly Upstream[], ask: SlotAsk, nowMs: Ms): void {
-    const limited = upstreams.filter((one) => {
-      const { ratePerS, pausedUntilMs } = this.standings.of(one);
+  wanted(upstreams: readonly Upstream[], ask: SlotWaiter, nowMs: Ms): void {
+    const limited = upstreams.filter((upstream) => {
+      const { ratePerS, pausedUntilMs } = this.standings.of(upstream);
       return ratePerS !== undefined && pausedUntilMs <= nowMs;
     });
-    this.desk.want(
+    this.client.request(
       limited.map(({ id }) => id),
       ask,
       nowMs,
     );
   }
 
-  enter(upstream: Upstream, nowMs: Ms, asker: string): void {
+  useSlot(upstream: Upstream, nowMs: Ms, requestId: string): void {
     if (this.standings.of(upstream).ratePerS === undefined) return;
-    this.desk.take(upstream.id, nowMs, asker);
+    this.client.take(upstream.id, nowMs, requestId);
   }
 
-  /** The limit of an upstream, as far as a plan should go by it: one long unheard of may be over. */
+  /** Returns the limit that planning should use. A limit not confirmed for long may be over and is ignored. */
   limitOf(upstream: Upstream): number | undefined {
     const { ratePerS, rateAtMs } = this.standings.of(upstream);
     return this.options.clock.nowMs() - rateAtMs > rateRules.believedMs ? undefined : ratePerS;
@@ -116,50 +118,50 @@
     return this.standings.limitedCount();
   }
 
-  // What entries tell each other.
+  // Exchange between entries.
 
-  report(): readonly StandingNews[] {
+  report(): readonly ReportedStateUpdate[] {
     return this.standings.report();
   }
 
-  /** Takes what another entry has told. */
-  take(entry: string, news: readonly StandingNews[]): void {
-    for (const one of news) {
-      const [before, after] = this.standings.take(one);
-      this.changed(one.upstream, before, after);
-      if (after.ratePerS !== undefined) this.book.hear(entry, one, after.ratePerS);
+  /** Applies updates from another entry. */
+  take(entry: string, news: readonly ReportedStateUpdate[]): void {
+    for (const update of news) {
+      const [before, after] = this.standings.take(update);
+      this.changed(update.upstream, before, after);
+      if (after.ratePerS !== undefined) this.book.addUpdate(entry, update, after.ratePerS);
     }
   }
 
-  /** Answers another entry's question for slots, or this entry's own. */
-  async answer(question: SlotQuestion): Promise<SlotAnswer> {
+  /** Answers another entry's request for a slot, or this entry's own. */
+  async answer(question: SlotRequest): Promise<SlotAnswer> {
     const { entry, news } = question;
     this.take(entry, [news]);
-    const { ratePerS } = this.standings.ofStart(news.upstream, news.startedAtMs);
+    const { ratePerS } = this.standings.ofIncarnation(news.upstream, news.startedAtMs);
     if (ratePerS === undefined) return { type: 'unlimited' };
     return this.book.draw(question, ratePerS);
   }
 
-  /** This process has taken the right to give slots out. */
-  took(): void {
-    this.book.took();
+  /** Starts anew as the holder, which grants slots. */
+  takeOver(): void {
+    this.book.takeOver();
   }
 
   private async draw(
     upstream: UpstreamId,
-    { rank, waitMs }: SlotAsk,
+    { rank, waitMs }: SlotWaiter,
   ): Promise<SlotAnswer | undefined> {
-    const news = this.standings.newsOf(upstream);
+    const news = this.standings.updateOf(upstream);
     const { entry, metrics } = this.options;
     if (!news) return undefined;
-    const said = await this.options.draw({ entry, news, rank, waitMs });
-    metrics.count('direct.slot', 1, { answer: said?.type ?? 'none' });
-    return said;
+    const answer = await this.options.draw({ entry, news, rank, waitMs });
+    metrics.count('direct.slot', 1, { answer: answer?.type ?? 'none' });
+    return answer;
   }
 
-  private changed(upstream: UpstreamId, before: Standing, after: Standing): void {
+  private changed(upstream: UpstreamId, before: ReportedState, after: ReportedState): void {
     this.limitChanged(upstream, before.ratePerS, after.ratePerS);
-    if (after.isLeaving && !before.isLeaving) this.options.leaves(upstream);
+    if (after.isLeaving && !before.isLeaving) this.options.upstreamLeaving(upstream);
   }
 
   private limitChanged(
@@ -170,9 +172,9 @@
     const isLower = after !== undefined && after < (before ?? Infinity) * LOWER_SHARE;
     const isOver = before !== undefined && after === undefined;
     if (!isLower && !isOver) return;
-    // Slots of the rate before are too many for a lower one.
-    this.desk.forget(upstream);
+    // Slots granted at the previous rate are too many for a lower one.
+    this.client.forget(upstream);
     this.book.forget(upstream);
-    if (isLower) this.standings.noteSent(upstream, this.options.sentLately(upstream));
+    if (isLower) this.standings.noteSent(upstream, this.options.recentSends(upstream));
   }
 }
--- a/src/direct/serving.ts
+++ b/src/direct/serving.ts
@@ -5,9 +5,9 @@
 import type { AccessDecision, Route, RouteTable } from '../core/routetable/index.js';
 import type { Log, UpstreamLink } from '../port/index.js';
 import type { Caller } from './caller.js';
-import type { PoisonDesk } from './poison/index.js';
-import type { QuotaDesk } from './quota/index.js';
-import type { Fleet, Need } from './route/index.js';
+import type { PoisonGuard } from './poison/index.js';
+import type { QuotaClient } from './quota/index.js';
+import type { Fleet, Target } from './route/index.js';
 import type { UpstreamGate } from './selfreport/index.js';
 
 /** Whether a request's target was made ready. */
@@ -26,8 +26,8 @@
   readonly log: Log;
   readonly link: UpstreamLink;
   readonly fleet: Fleet;
-  readonly poison: PoisonDesk;
-  readonly quota: QuotaDesk;
+  readonly poison: PoisonGuard;
+  readonly quota: QuotaClient;
   readonly gate: UpstreamGate;
   readonly table: RouteTable | undefined;
   /** False late in a planned stop: requests not yet sent to an upstream are refused. */
@@ -40,17 +40,17 @@
   /** Returns how many connections this entry may open to one upstream. */
   connectionShare(maxConnections: number | undefined): number;
   /** Waits until an upstream has the target loaded, or returns why none will in time. */
-  seek(need: Need, waiter: Omit<ResidencyWait, 'inMs' | 'isUnderWay'>): Promise<SeekResult>;
+  seek(need: Target, waiter: Omit<ResidencyWait, 'inMs' | 'isUnderWay'>): Promise<SeekResult>;
   /** True if the caller was refused before and would give up if refused again. */
   isReturn(route: Route, deadlineMs: Ms | undefined): boolean;
   /** Counts the arrival of a request with this target. */
-  arrived(need: Need): void;
+  arrived(need: Target): void;
   /** Changes the number of requests that wait because no suitable upstream accepts them now. */
-  waiting(need: Need, change: 1 | -1): void;
+  waiting(need: Target, change: 1 | -1): void;
   /** Counts a request that was sent to an upstream. */
-  began(need: Need): void;
+  began(need: Target): void;
   /** Counts a request that ended after `tookMs` at an upstream. */
-  left(need: Need, tookMs: Ms): void;
+  left(need: Target, tookMs: Ms): void;
   /** Counts an attempt at an upstream by its outcome. */
   attempted(outcome: string): void;
   ended(end: string, route: Route | undefined, tookMs: Ms): void;
--- a/test/callerleaves.test.ts
+++ b/test/callerleaves.test.ts
@@ -5,19 +5,19 @@
 import { PlatformRig } from './support/platformrig.js';
 import { standstill } from './support/standstill.js';
 
-/** How long an upstream wants no request, and how long the event loop then stands still. */
+/** The backoff that an upstream asks for, and how long the event loop then stalls. */
 const PAUSE_S = 1.5;
 const STANDSTILL_MS = 2200;
 const TARGET_MS = 10_000;
-/** The request that the upstream turns away has ended by then. */
+/** The request that the upstream refuses has ended by then. */
 const FIRST_DEADLINE_MS = 1200;
 
-/** Continues where late timers run before sockets are read again. */
+/** Continues at a point where overdue timers run before sockets are read again. */
 async function afterSockets(): Promise<void> {
   await new Promise(setImmediate);
 }
 
-/** A caller whose request waits at an entry until the only upstream takes requests again. */
+/** A caller whose request waits at an entry for the end of the only upstream's backoff. */
 interface Waiting {
   readonly rig: PlatformRig;
   readonly server: PlatformServer;
@@ -42,7 +42,7 @@
   const rig = new PlatformRig();
   rig.targetLatencyMs = TARGET_MS;
   await rig.start([server]);
-  // Two at a time, so that one connection is kept when the request that is turned away has closed the other.
+  // Two at a time, so that one connection stays open when the refused request has closed the other.
   const before = ['/lookup/0', '/lookup/0'].map((path) => askEntry(rig.port, { path }));
   for (const { status } of await Promise.all(before)) t.is(status, 200);
   server.seen.length = 0;
@@ -56,8 +56,8 @@
   return { rig, server, socket, answered };
 }
 
-/** The upstream's next request comes with this id: what the entry should not have sent would come before it. */
-async function nextRun(t: ExecutionContext, { rig, server }: Waiting): Promise<void> {
+/** Checks that the upstream's next request is a new one: a request sent by mistake would arrive before it. */
+async function expectNextRun(t: ExecutionContext, { rig, server }: Waiting): Promise<void> {
   const { status } = await askEntry(rig.port, { path: '/lookup/2' });
   t.is(status, 200);
   t.deepEqual(
@@ -67,27 +67,27 @@
   rig.close();
 }
 
-// Guards against work for callers that have left, done by entries that were too busy to read their closes.
+// Guards against running requests of callers that have left, after a stall in which the entry did not read the close.
 test.serial(
-  'a request that waits is not sent on once its caller has left, though its timer comes before the close',
+  'a waiting request is not sent once its caller has left, though its timer fires before the close is read',
   async (t) => {
     const waiting = await startWaiting(t, 4000);
     await afterSockets();
     waiting.socket.destroy();
-    // The close lies unread, and the time at which the upstream takes requests again has passed.
+    // Afterwards the close is still unread, and the backoff is over.
     standstill(STANDSTILL_MS);
-    await nextRun(t, waiting);
+    await expectNextRun(t, waiting);
   },
 );
 
-// Guards against work past its time, and against "unknown" for a request that need not have left.
+// Guards against running a request past its deadline, and against reporting "unknown" for one that was never sent.
 test.serial(
-  'a request that waits is not sent on once its time has passed, though its timer comes before the end of its time',
+  'a waiting request is not sent past its deadline, though its timer fires before the deadline timer',
   async (t) => {
     const waiting = await startWaiting(t, 1800);
     await afterSockets();
     standstill(STANDSTILL_MS);
     t.regex(await waiting.answered, /^HTTP\/1\.1 503 /);
-    await nextRun(t, waiting);
+    await expectNextRun(t, waiting);
   },
 );
--- a/test/latesend.test.ts
+++ b/test/latesend.test.ts
@@ -137,7 +137,7 @@
     const rig: PlatformRig = await startOpening(server, () => {
       const { info } = rig.entry.fleet.get('p1' as UpstreamId)!;
       const rate = { type: 'unsaid' } as const;
-      rig.entry.gate.hear(info, { rate, isLeaving: true, unreadable: [] });
+      rig.entry.gate.onAnswer(info, { rate, isLeaving: true, unreadable: [] });
     });
     const { status } = await askEntry(rig.port, { path: '/lookup/1' });
     t.is(status, 503);
--- a/test/lostupstream.test.ts
+++ b/test/lostupstream.test.ts
@@ -5,7 +5,7 @@
 
 const SERVICE = 's' as ServiceId;
 const MODEL = 'm1' as ModelId;
-const NEED = { service: SERVICE, model: MODEL };
+const TARGET = { service: SERVICE, model: MODEL };
 
 function fleetOf(...ids: string[]): Fleet {
   const fleet = new Fleet('z');
@@ -25,29 +25,29 @@
   return fleet;
 }
 
-test('an upstream whose connections do not open is no place for a model, until it is tried again', (t) => {
+test('an unreachable upstream counts as lost until it may be tried again', (t) => {
   const fleet = fleetOf('u1');
   const state = fleet.get('u1' as UpstreamId)!;
-  fleet.learn(state, 'unreachable', NEED, 1000);
-  t.is(fleet.choose(NEED, 1100, { alsoLost: false }), undefined);
+  fleet.recordOutcome(state, 'unreachable', TARGET, 1000);
+  t.is(fleet.choose(TARGET, 1100, { includesLost: false }), undefined);
   t.deepEqual(fleet.lost(1100), ['u1' as UpstreamId]);
-  t.is(fleet.choose(NEED, 2600, { alsoLost: false }), state);
-  fleet.learn(state, 'answered', NEED, 2700);
+  t.is(fleet.choose(TARGET, 2600, { includesLost: false }), state);
+  fleet.recordOutcome(state, 'answered', TARGET, 2700);
   t.deepEqual(fleet.lost(2700), []);
 });
 
-test('one that lacks its model right after a failure has started anew; without one it only lacks it', (t) => {
+test('an upstream that lacks its model has restarted if a failure came right before, and not otherwise', (t) => {
   const fleet = fleetOf('u1', 'u2');
   const [failed, sound] = [fleet.get('u1' as UpstreamId)!, fleet.get('u2' as UpstreamId)!];
-  fleet.learn(failed, 'answered', NEED, 500);
-  fleet.learn(failed, 'failed', NEED, 1000);
-  fleet.learn(failed, 'missing', NEED, 1100);
-  fleet.learn(sound, 'answered', NEED, 1000);
-  fleet.learn(sound, 'missing', NEED, 1100);
+  fleet.recordOutcome(failed, 'answered', TARGET, 500);
+  fleet.recordOutcome(failed, 'failed', TARGET, 1000);
+  fleet.recordOutcome(failed, 'missing', TARGET, 1100);
+  fleet.recordOutcome(sound, 'answered', TARGET, 1000);
+  fleet.recordOutcome(sound, 'missing', TARGET, 1100);
   t.deepEqual(fleet.lost(1100), ['u1' as UpstreamId]);
 });
 
-test('the holder of orders takes an upstream as lost by the word of two entries, and not for long', (t) => {
+test('the order lease holder takes an upstream for lost while two entries report it, for a limited time', (t) => {
   const book = new LostUpstreams();
   const id = 'u1' as UpstreamId;
   const report = (entry: string) => ({ entry, address: 'a', models: [], lost: [id] });
--- a/test/poison.test.ts
+++ b/test/poison.test.ts
@@ -2,7 +2,7 @@
 import fc from 'fast-check';
 import type { ContentId, ServiceId, UpstreamId } from '../src/base/index.js';
 import {
-  chanceOfEnd,
+  crashProbability,
   judge,
   merge,
   poisonRules,
@@ -11,7 +11,7 @@
   type Suspect,
 } from '../src/core/poison/index.js';
 import { decodeSuspects } from '../src/direct/poison/decodesuspects.js';
-import { PoisonBook } from '../src/direct/poison/poisonbook.js';
+import { SuspectTable } from '../src/direct/poison/suspecttable.js';
 
 const STATES: readonly CrashState[] = ['open', 'explained', 'ended', 'cleared'];
 const CONTENT = 'c' as ContentId;
@@ -35,61 +35,68 @@
   .uniqueArray(anyCrash, { selector: ({ upstream }) => upstream, maxLength: 4 })
   .map((crashes) => suspectOf([...crashes].sort((a, b) => (a.upstream < b.upstream ? -1 : 1))));
 
-test('what entries know together does not depend on the order in which they hear of it', (t) => {
+test('merged records and their verdict do not depend on the order of merging', (t) => {
   fc.assert(
-    fc.property(fc.array(anySuspect, { minLength: 1, maxLength: 5 }), fc.nat(), (told, turn) => {
-      const turned = [...told.slice(turn % told.length), ...told.slice(0, turn % told.length)];
-      const join = (all: readonly Suspect[]) =>
-        [...all, ...all].reduce<Suspect | undefined>(
-          (mine, theirs) => merge(mine, theirs),
-          undefined,
-        )!;
-      t.deepEqual(join(told), join(turned));
-      t.is(judge(join(told)), judge(join(turned)));
-    }),
+    fc.property(
+      fc.array(anySuspect, { minLength: 1, maxLength: 5 }),
+      fc.nat(),
+      (records, shift) => {
+        const shifted = [
+          ...records.slice(shift % records.length),
+          ...records.slice(0, shift % records.length),
+        ];
+        const join = (all: readonly Suspect[]) =>
+          [...all, ...all].reduce<Suspect | undefined>(
+            (mine, theirs) => merge(mine, theirs),
+            undefined,
+          )!;
+        t.deepEqual(join(records), join(shifted));
+        t.is(judge(join(records)), judge(join(shifted)));
+      },
+    ),
   );
 });
 
-test('one end is never enough, three are always, two only if chance would hardly have brought them', (t) => {
+test('one crash is never sufficient, three always are, two only if both are improbable by chance', (t) => {
   const ended = (...chances: readonly number[]) =>
     judge(suspectOf(chances.map((chance, at) => crashOf(`u${at}`, 'ended', chance))));
   t.is(ended(), 'sound');
-  t.is(ended(poisonRules.leastChance), 'suspect');
+  t.is(ended(poisonRules.minProbability), 'suspect');
   t.is(ended(0.01, 0.01), 'poison');
   t.is(ended(0.05, 0.05), 'suspect');
   t.is(ended(1, 1, 1), 'poison');
 });
 
-test('ends of runs that were sent before one was known count as one, by the most probable', (t) => {
+test('crashes of runs sent before any crash was known count as one, with the highest probability', (t) => {
   const first = [0.001, 0.01, 0.001].map((chance, at) => crashOf(`u${at}`, 'ended', chance, false));
   t.is(judge(suspectOf(first)), 'suspect');
   t.is(judge(suspectOf([...first, crashOf('u9', 'ended', 0.05)])), 'suspect');
   t.is(judge(suspectOf([...first, crashOf('u9', 'ended', 0.01)])), 'poison');
 });
 
-test('ends that are explained, or after which it ran well, do not count', (t) => {
+test('crashes that are explained or cleared do not count', (t) => {
   const crashes = (state: CrashState) => [crashOf('u1', state), crashOf('u2', state)];
   t.is(judge(suspectOf(crashes('open'))), 'poison');
   t.is(judge(suspectOf(crashes('explained'))), 'sound');
   t.is(judge(suspectOf(crashes('cleared'))), 'sound');
 });
 
-test('chance grows with the length of the run and with the ends that come without it', (t) => {
-  const calm = { upstreamCount: 13, recentEnds: 0 };
-  t.true(chanceOfEnd(100, calm) < chanceOfEnd(2000, calm));
-  t.true(chanceOfEnd(100, calm) < chanceOfEnd(100, { ...calm, recentEnds: 9 }));
-  // Nine ends within the window, as on the recorded day: two runs of 0.39 s are still no chance, two of 2 s are.
-  const stormy = { upstreamCount: 13, recentEnds: 9 };
-  t.true(chanceOfEnd(390, stormy) ** 2 <= poisonRules.mostChance);
-  t.true(chanceOfEnd(2000, stormy) ** 2 > poisonRules.mostChance);
+test('the probability of a crash by chance grows with the length of the run and the rate of other crashes', (t) => {
+  const calm = { upstreamCount: 13, recentCrashes: 0 };
+  t.true(crashProbability(100, calm) < crashProbability(2000, calm));
+  t.true(crashProbability(100, calm) < crashProbability(100, { ...calm, recentCrashes: 9 }));
+  // With nine crashes in the window, two runs of 0.39 s are still no coincidence; two runs of 2 s may be one.
+  const stormy = { upstreamCount: 13, recentCrashes: 9 };
+  t.true(crashProbability(390, stormy) ** 2 <= poisonRules.maxProbability);
+  t.true(crashProbability(2000, stormy) ** 2 > poisonRules.maxProbability);
 });
 
-function bookOf(): PoisonBook {
-  return new PoisonBook('book', () => {});
+function newTable(): SuspectTable {
+  return new SuspectTable('book', () => {});
 }
 
-test('an upstream that answers what was sent after a broken run has not ended', (t) => {
-  const book = bookOf();
+test('an upstream that answers a request sent after a broken run has not crashed', (t) => {
+  const book = newTable();
   book.add(suspectOf([crashOf('u1', 'open'), crashOf('u2', 'open')]), 1000);
   t.is(book.verdict(CONTENT), 'poison');
   book.answered('u1' as UpstreamId, 900, 1100);
@@ -101,26 +108,26 @@
   t.is(book.verdict(CONTENT), 'suspect');
 });
 
-test('a book tells what is new since a mark, and everything to one that knew another book', (t) => {
-  const book = bookOf();
+test('a table sends the changes since a cursor, and everything for a cursor of another table', (t) => {
+  const book = newTable();
   const contents = ['a', 'b', 'c'].map((name) => name as ContentId);
   for (const content of contents) book.add(suspectOf([crashOf('u1', 'open')], content), 0);
-  const first = book.since(undefined);
+  const first = book.changesSince(undefined);
   t.deepEqual(
     first.suspects.map(({ content }) => content),
     contents,
   );
-  t.deepEqual(book.since(first).suspects, []);
+  t.deepEqual(book.changesSince(first).suspects, []);
   book.clear(contents[0]!, 10);
   t.deepEqual(
-    book.since(first).suspects.map(({ content }) => content),
+    book.changesSince(first).suspects.map(({ content }) => content),
     [contents[0]!],
   );
-  t.is(book.since({ book: 'another', index: 99 }).suspects.length, 3);
+  t.is(book.changesSince({ book: 'another', index: 99 }).suspects.length, 3);
 });
 
-test('a flood of suspects pushes out old suspects, never verdicts, and is bounded', (t) => {
-  const book = bookOf();
+test('many suspects evict old suspects but no verdicts, and the table stays bounded', (t) => {
+  const book = newTable();
   book.add(suspectOf([crashOf('u1', 'ended'), crashOf('u2', 'ended')]), 0);
   for (let at = 0; at < 5000; at += 1) {
     book.add(suspectOf([crashOf('u3', 'ended')], `f${at}` as ContentId), 1);
@@ -129,7 +136,7 @@
   t.true(book.sizes.suspects <= 4000);
 });
 
-test('a record that is not wholly one is not taken', (t) => {
+test('a malformed record is rejected', (t) => {
   const whole = suspectOf([crashOf('u1', 'ended')]);
   t.deepEqual(decodeSuspects(JSON.stringify({ suspects: [whole] })), [whole]);
   const broken: readonly unknown[] = [
