--- a/test/selfreport.test.ts
+++ b/test/selfreport.test.ts
@@ -5,12 +5,12 @@
 import { UpstreamGate } from '../src/direct/selfreport/index.js';
 import { decodeSelfReport } from '../platform/decodeselfreport.js';
 
-interface Line {
+interface LogLine {
   readonly message: string;
   readonly fields?: Readonly<Record<string, unknown>>;
 }
 
-function gateWith(clock: VirtualClock, lines: Line[] = [], sentCount = 0): UpstreamGate {
+function gateWith(clock: VirtualClock, lines: LogLine[] = [], sentCount = 0): UpstreamGate {
   const write = (message: string, fields = {}) => lines.push({ message, fields });
   return new UpstreamGate({
     entry: 'e1',
@@ -19,9 +19,9 @@
     metrics: { count() {}, gauge() {}, histogram() {} },
     share: () => 1,
     draw: () => Promise.resolve(undefined),
-    sentLately: () => sentCount,
+    recentSends: () => sentCount,
     heard() {},
-    leaves() {},
+    upstreamLeaving() {},
   });
 }
 
@@ -40,7 +40,7 @@
   };
 }
 
-function said(rate: SelfReport['rate'], more: Partial<SelfReport> = {}): SelfReport {
+function reportOf(rate: SelfReport['rate'], more: Partial<SelfReport> = {}): SelfReport {
   return { rate, isLeaving: false, unreadable: [], ...more };
 }
 
@@ -53,7 +53,7 @@
   return decodeSelfReport({ status, headers, isOfRun });
 }
 
-test('a limit is a decimal number; of two the lower one counts; anything else changes nothing and is said', (t) => {
+test('a limit is a decimal number, the lowest one counts, and anything else is reported as unreadable', (t) => {
   t.deepEqual(decode(['Server-Limit', '2.3']).rate, { type: 'limited', perS: 2.3 });
   t.deepEqual(decode(['server-limit', '0']).rate, { type: 'limited', perS: 0 });
   t.deepEqual(decode(['Server-Limit', '5', 'Server-Limit', '3']).rate, {
@@ -68,21 +68,21 @@
   }
 });
 
-test('an answer without a limit ends one only if its upstream ran the request', (t) => {
+test('an answer without a limit lifts it only if the upstream ran the request', (t) => {
   t.is(decode([]).rate.type, 'unlimited');
   t.is(decode([], 503, false).rate.type, 'unsaid');
 });
 
-test('a limit holds from the answer that names it until one that names none', (t) => {
+test('a limit holds from the answer that names it until an answer without one', (t) => {
   const clock = new VirtualClock();
-  const lines: Line[] = [];
+  const lines: LogLine[] = [];
   const gate = gateWith(clock, lines);
   t.is(gate.blockOf(upstream(), 0), undefined);
-  gate.hear(upstream(), said(LIMITED));
+  gate.onAnswer(upstream(), reportOf(LIMITED));
   t.is(gate.blockOf(upstream(), 0)?.reason, 'limited');
-  gate.hear(upstream(), said(UNSAID));
+  gate.onAnswer(upstream(), reportOf(UNSAID));
   t.is(gate.blockOf(upstream(), 0)?.reason, 'limited');
-  gate.hear(upstream(), said(UNLIMITED));
+  gate.onAnswer(upstream(), reportOf(UNLIMITED));
   t.is(gate.blockOf(upstream(), 0), undefined);
   t.deepEqual(
     lines.map(({ message }) => message),
@@ -90,21 +90,21 @@
   );
 });
 
-test('another start of an upstream has no limit; its old start keeps its own', (t) => {
+test('another incarnation of an upstream has no limit; the old one keeps its limit', (t) => {
   const gate = gateWith(new VirtualClock());
-  gate.hear(upstream(100), said(LIMITED));
+  gate.onAnswer(upstream(100), reportOf(LIMITED));
   t.is(gate.blockOf(upstream(200), 0), undefined);
   t.is(gate.blockOf(upstream(100), 0)?.reason, 'limited');
 });
 
-test('what another entry tells holds here, unless an answer since then says otherwise', (t) => {
+test('an update from another entry applies unless a newer answer says otherwise', (t) => {
   const clock = new VirtualClock();
   const gate = gateWith(clock);
   clock.advanceTo(10_000);
   const news = { upstream: UPSTREAM, ratePerS: 2, rateAgeMs: 200 };
   gate.take('e2', [news]);
   t.is(gate.blockOf(upstream(), clock.nowMs())?.reason, 'limited');
-  gate.hear(upstream(), said(UNLIMITED));
+  gate.onAnswer(upstream(), reportOf(UNLIMITED));
   gate.take('e2', [{ ...news, rateAgeMs: 300 }]);
   t.is(gate.blockOf(upstream(), clock.nowMs()), undefined);
   gate.take('e2', [{ upstream: UPSTREAM, ratePerS: 3, rateAgeMs: 0 }]);
@@ -114,65 +114,65 @@
   t.is(gate.blockOf(upstream(), clock.nowMs())?.reason, 'limited');
 });
 
-test('entries tell each other of limits, and for a while that one is over', (t) => {
+test('entries share limits, and for a while the end of a limit', (t) => {
   const clock = new VirtualClock();
   const gate = gateWith(clock);
-  gate.hear(upstream(7), said(LIMITED));
+  gate.onAnswer(upstream(7), reportOf(LIMITED));
   clock.advanceTo(500);
-  const told = { upstream: UPSTREAM, startedAtMs: 7, isLeaving: undefined, sentBefore: 0 };
-  t.deepEqual(gate.report(), [{ ...told, ratePerS: 2, rateAgeMs: 500 }]);
-  gate.hear(upstream(7), said(UNLIMITED));
-  t.deepEqual(gate.report(), [{ ...told, ratePerS: undefined, rateAgeMs: 0 }]);
+  const update = { upstream: UPSTREAM, startedAtMs: 7, isLeaving: undefined, sentBefore: 0 };
+  t.deepEqual(gate.report(), [{ ...update, ratePerS: 2, rateAgeMs: 500 }]);
+  gate.onAnswer(upstream(7), reportOf(UNLIMITED));
+  t.deepEqual(gate.report(), [{ ...update, ratePerS: undefined, rateAgeMs: 0 }]);
   clock.advanceTo(60_000);
   t.deepEqual(gate.report(), []);
 });
 
-test('a holder that takes over hears nothing of what was sent long before', (t) => {
+test('an update does not contain requests sent before the window', (t) => {
   const clock = new VirtualClock();
   const gate = gateWith(clock, [], 40);
-  gate.hear(upstream(), said(LIMITED));
+  gate.onAnswer(upstream(), reportOf(LIMITED));
   t.is(gate.report()[0]!.sentBefore, 40);
   clock.advanceTo(10_000);
   t.is(gate.report()[0]!.sentBefore, 0);
 });
 
-test('a plan does not go by a limit that nobody has heard of for long; a send does', (t) => {
+test('a limit that was not confirmed for long is ignored by planning but obeyed by sends', (t) => {
   const clock = new VirtualClock();
   const gate = gateWith(clock);
-  gate.hear(upstream(), said(LIMITED));
+  gate.onAnswer(upstream(), reportOf(LIMITED));
   t.is(gate.limitOf(upstream()), 2);
   clock.advanceTo(60_000);
   t.is(gate.limitOf(upstream()), undefined);
   t.is(gate.blockOf(upstream(), clock.nowMs())?.reason, 'limited');
 });
 
-test('a start that says it leaves stays so, whatever the list or an older entry says; another start does not leave', (t) => {
+test('an incarnation keeps leaving, whatever the list or an older update says; another one does not leave', (t) => {
   const clock = new VirtualClock();
   const gate = gateWith(clock);
-  gate.hear(upstream(100), said(UNLIMITED, { isLeaving: true }));
-  t.true(gate.told(upstream(100)).isLeaving);
-  gate.hear(upstream(100), said(UNLIMITED));
+  gate.onAnswer(upstream(100), reportOf(UNLIMITED, { isLeaving: true }));
+  t.true(gate.withReportedState(upstream(100)).isLeaving);
+  gate.onAnswer(upstream(100), reportOf(UNLIMITED));
   gate.take('e2', [{ upstream: UPSTREAM, startedAtMs: 100, rateAgeMs: 0 }]);
-  t.true(gate.told(upstream(100)).isLeaving);
-  t.false(gate.told(upstream(200)).isLeaving);
+  t.true(gate.withReportedState(upstream(100)).isLeaving);
+  t.false(gate.withReportedState(upstream(200)).isLeaving);
   clock.advanceTo(3_600_000);
-  t.true(gate.told(upstream(100)).isLeaving);
+  t.true(gate.withReportedState(upstream(100)).isLeaving);
 });
 
-test('an entry hears from others that an upstream leaves, and not of an older start', (t) => {
+test('an entry learns from others that an upstream leaves, and ignores updates on an older incarnation', (t) => {
   const clock = new VirtualClock();
   const [first, second] = [gateWith(clock), gateWith(clock)];
-  first.hear(upstream(100), said(UNSAID, { isLeaving: true }));
+  first.onAnswer(upstream(100), reportOf(UNSAID, { isLeaving: true }));
   second.take('e1', JSON.parse(JSON.stringify(first.report())) as ReturnType<typeof first.report>);
-  t.true(second.told(upstream(100)).isLeaving);
+  t.true(second.withReportedState(upstream(100)).isLeaving);
   t.is(second.blockOf(upstream(100), 0), undefined);
-  second.hear(upstream(200), said(LIMITED));
+  second.onAnswer(upstream(200), reportOf(LIMITED));
   second.take('e1', first.report());
   t.is(second.blockOf(upstream(200), 0)?.reason, 'limited');
-  t.false(second.told(upstream(200)).isLeaving);
+  t.false(second.withReportedState(upstream(200)).isLeaving);
 });
 
-test('a pause is a decimal number of seconds beside 503; anything else is said and asks for none', (t) => {
+test('a backoff is a decimal number of seconds with status 503; anything else is reported as unreadable', (t) => {
   t.is(decode(['Retry-After', '1.5'], 503, false).pauseMs, 1500);
   t.is(decode(['Retry-After', '0'], 503, false).pauseMs, 0);
   t.is(decode(['Retry-After', '3600'], 503, false).pauseMs, 3_600_000);
@@ -184,18 +184,18 @@
   }
 });
 
-test('a pause holds until its time is over, the longest one if there are several, and not for another start', (t) => {
+test('a backoff lasts until its end, the latest of several, and does not apply to another incarnation', (t) => {
   const clock = new VirtualClock();
   const gate = gateWith(clock);
-  gate.hear(upstream(100), said(UNSAID, { pauseMs: 2000 }));
-  gate.hear(upstream(100), said(UNSAID, { pauseMs: 500 }));
+  gate.onAnswer(upstream(100), reportOf(UNSAID, { pauseMs: 2000 }));
+  gate.onAnswer(upstream(100), reportOf(UNSAID, { pauseMs: 500 }));
   t.deepEqual(gate.blockOf(upstream(100), 600), { reason: 'paused', opensInMs: 1400 });
   t.is(gate.blockOf(upstream(200), 600), undefined);
   t.is(gate.blockOf(upstream(100), 2000), undefined);
 });
 
-test('a pause is between an upstream and one entry: others are not told', (t) => {
+test('a backoff concerns one entry and is not shared with others', (t) => {
   const gate = gateWith(new VirtualClock());
-  gate.hear(upstream(), said(UNSAID, { pauseMs: 2000 }));
+  gate.onAnswer(upstream(), reportOf(UNSAID, { pauseMs: 2000 }));
   t.deepEqual(gate.report(), []);
 });
--- a/test/serverleaves.test.ts
+++ b/test/serverleaves.test.ts
@@ -1,21 +1,11 @@
 /*
- * What users saw: an engine had said that it leaves, and went on to get 2 to 5 requests a second from all five entries until
- * it had gone, 13 s later; two of them more than 2 s after an answer had told the entry. Nothing failed that day: the
- * engine ran what it got.
+ * Guards against entries that ignore what an upstream reports in its answers while the list is out of date. During an
+ * outage of the store an engine reported that it leaves, and all entries sent it requests for 13 s, until it was gone:
+ * they went by the list alone, which was older. A mark in the list's record would not do, since the next reading of
+ * the list overwrites it.
  *
- * Order of events: the store falls silent; half a second later the engine says that it leaves, which the store takes in
- * only 12 s after that. The engine's answers say so at once, and two entries pass such answers on. The list, which is
- * all that entries go by, still has the engine as ready.
- *
- * Cause: an entry knew that an upstream leaves from the list alone. What the upstream itself said in its answers was not read;
- * and a mark beside the list's entry would have been wiped out by the next reading of a list that knows nothing of it.
- *
- * Evidence: in the play of the recorded day all five entries sent to the engine from the first answer that said so to its end, and
- * the list of all five was older than that, as `store lost` says 0.9 s before and after. On stand-ins an entry that was told
- * sent the server all of its next 30 requests.
- *
- * Of the same kind: a server that turns an entry away with a time to come back wants nothing from it until then. That time
- * was not read either: the server was chosen last for 60 ms, so that it got each request that its others had no room for.
+ * Likewise an upstream that refuses with a retry-after time asks the entry for a backoff. Avoiding it for only 60 ms
+ * sent it every request for which the other upstreams had no capacity.
  */
 import test from 'ava';
 import { PlatformServer } from '../standin/platform/index.js';
@@ -23,8 +13,8 @@
 import { PlatformRig } from './support/platformrig.js';
 
 const REQUESTS = 30;
-/** A server that has answered an entry with a time to come back gets no more than this from it until then. */
-const MOST_IN_PAUSE = 2;
+/** Requests that an entry may send to an upstream during its backoff. */
+const MAX_IN_BACKOFF = 2;
 const ENTRIES = 2;
 
 const KINDS = [
@@ -34,7 +24,7 @@
 
 function pair(service: string): [PlatformServer, PlatformServer] {
   const first = new PlatformServer('first', service);
-  // In another zone, so that the first one is asked first.
+  // In another zone, so that the first one is preferred.
   const second = new PlatformServer('second', service, 'z2');
   for (const server of [first, second]) server.models.set('m1', new Set());
   return [first, second];
@@ -45,7 +35,7 @@
 }
 
 for (const [kind, service] of KINDS) {
-  test(`a server that says in an answer that it leaves gets nothing more: ${service}`, async (t) => {
+  test(`an upstream that reports in an answer that it leaves gets no further requests: ${service}`, async (t) => {
     const rig = new PlatformRig();
     t.teardown(() => rig.close());
     const [first, second] = pair(service);
@@ -55,7 +45,7 @@
       const ask = (at: number) =>
         askEntry(rig.portOf(entry), { path: `/${kind}/${entry}-${at}`, headers: headersOf(kind) });
       let at = 0;
-      // Another entry may have told this one.
+      // This entry may know from another one already.
       let { head, status } = await ask(at);
       t.is(status, 200);
       if (!head.includes('by-first')) continue;
@@ -65,14 +55,14 @@
         t.is(status, 200);
       }
       t.is(first.seen.length, before);
-      // The list is older than the answer, whatever it says now.
+      // The list is older than the answer and must not override it.
       rig.list(first);
       for (; at <= 2 * REQUESTS; at += 1) t.is((await ask(at)).status, 200);
       t.is(first.seen.length, before);
     }
   });
 
-  test(`a server that turns an entry away for a time gets nothing from it until then: ${service}`, async (t) => {
+  test(`an upstream that asks an entry for a backoff gets no requests from it until then: ${service}`, async (t) => {
     const rig = new PlatformRig();
     t.teardown(() => rig.close());
     const [first, second] = pair(service);
@@ -80,15 +70,15 @@
     first.manners.push('pause');
     const headers = headersOf(kind);
     for (let at = 0; at < REQUESTS; at += 1) {
-      // With its other server busy, one that is only avoided is asked again.
+      // While the other upstream is busy, one that is only avoided would be sent requests again.
       second.manners.push('full');
       await askEntry(rig.port, { path: `/${kind}/${at}`, headers });
     }
-    t.true(first.seen.length + first.turnedAway.length - 1 <= MOST_IN_PAUSE);
+    t.true(first.seen.length + first.turnedAway.length - 1 <= MAX_IN_BACKOFF);
   });
 }
 
-test('where all servers want a pause, a request is refused at once, with the least time that is left', async (t) => {
+test('if all upstreams ask for a backoff, a request is refused at once with the shortest remaining time', async (t) => {
   const rig = new PlatformRig();
   t.teardown(() => rig.close());
   const [first, second] = pair('plain');
@@ -99,12 +89,12 @@
   const { status, head, body } = await askEntry(rig.port, { path: '/lookup/1' });
   t.is(status, 503);
   t.regex(body, /upstreams-paused/);
-  const toldS = Number(/retry-after: ([\d.]+)/i.exec(head)?.[1]);
-  t.true(toldS > 30 && toldS <= 41.5, String(toldS));
+  const retryAfterS = Number(/retry-after: ([\d.]+)/i.exec(head)?.[1]);
+  t.true(retryAfterS > 30 && retryAfterS <= 41.5, String(retryAfterS));
   t.is(first.turnedAway.length + second.turnedAway.length, 2);
 });
 
-test('where all servers of a service leave, a request is refused at once and has not run', async (t) => {
+test('if all upstreams of a service leave, a request is refused at once and has not run', async (t) => {
   const rig = new PlatformRig();
   t.teardown(() => rig.close());
   const [first, second] = pair('plain');
--- a/test/serverneed.test.ts
+++ b/test/serverneed.test.ts
@@ -1,17 +1,7 @@
 /*
- * What users saw: two of thirteen engines had asked for less, one for 2.3 requests a second and one for 2.9, and went on
- * to get 10 to 16 a second each, to the end of the day. Nothing was refused or lost; the servers' operators saw that
- * what they had asked for changed nothing.
- *
- * Order of events: a server in need names a limit in each of its answers. All five entries pass such answers on within
- * a second, and go on to choose the server as before.
- *
- * Cause: nothing read what a server says of itself in an answer, but for its load. Choosing an upstream went by the list
- * and by each entry's own attempts, and no place existed in which a bound over all entries could be kept for one server.
- *
- * Evidence: in the play of the recorded day no entry sent less after it had been told, nor did it at any later time; on
- * stand-ins, with the word decoded and logged and no decision asking for it, a server that named 1 a second got 195
- * requests in a window.
+ * Guards against entries that ignore a rate limit. An upstream names its limit in each answer, and each entry has to
+ * obey it together with all other entries. Once, entries read nothing but the load from answers, and two engines with
+ * limits of 2.3 and 2.9 requests per second were sent 10 to 16.
  */
 import test from 'ava';
 import { PlatformServer } from '../standin/platform/index.js';
@@ -19,18 +9,18 @@
 import { PlatformRig } from './support/platformrig.js';
 
 const WINDOW_MS = 4000;
-/** Of what a limit allows in a window, and beyond it. */
+/** Tolerance over what a limit allows in a window: a factor, and a number of requests. */
 const EXCESS = 1.5;
 const SLACK = 5;
 const ENTRIES = 5;
 const REQUESTS_EACH = 40;
 
-/** A request that reached a server. */
+/** A request that reached an upstream. */
 interface Arrival {
   readonly atMs: number;
 }
 
-function mostInWindow(arrivals: readonly Arrival[]): number {
+function maxInWindow(arrivals: readonly Arrival[]): number {
   let most = 0;
   for (const [from, { atMs }] of arrivals.entries()) {
     const inWindow = arrivals.slice(from).filter((other) => other.atMs <= atMs + WINDOW_MS);
@@ -43,30 +33,30 @@
   return (EXCESS * limitPerS * WINDOW_MS) / 1000 + SLACK;
 }
 
-/** What became of the requests of all callers. */
-interface Asked {
-  /** Paths of those that came to an entry after it had been told. */
-  readonly toldPaths: ReadonlySet<string>;
+/** What the callers did and got. */
+interface CallsOutcome {
+  /** Paths of the requests that reached an entry after it had received the limit. */
+  readonly informedPaths: ReadonlySet<string>;
   readonly statuses: ReadonlySet<number>;
 }
 
-/** Asks each entry one request after the other. */
-async function askAll(rig: PlatformRig, needy: string, kind: string): Promise<Asked> {
-  const toldPaths = new Set<string>();
+/** Sends each entry one request after the other. */
+async function callAll(rig: PlatformRig, limited: string, kind: string): Promise<CallsOutcome> {
+  const informedPaths = new Set<string>();
   const statuses = new Set<number>();
   const headers: Record<string, string> = kind === 'draft' ? { 'Tarragonstile-Model': 'm1' } : {};
   const ask = async (entry: number): Promise<void> => {
-    let isTold = false;
+    let isInformed = false;
     for (let at = 0; at < REQUESTS_EACH; at += 1) {
       const path = `/${kind}/${entry}-${at}`;
-      if (isTold) toldPaths.add(path);
+      if (isInformed) informedPaths.add(path);
       const answer = await askEntry(rig.portOf(entry), { path, headers });
       statuses.add(answer.status);
-      if (answer.head.includes(`by-${needy}`)) isTold = true;
+      if (answer.head.includes(`by-${limited}`)) isInformed = true;
     }
   };
   await Promise.all(Array.from({ length: ENTRIES }, (_one, entry) => ask(entry)));
-  return { toldPaths, statuses };
+  return { informedPaths, statuses };
 }
 
 const LIMIT_PER_S = 1;
@@ -75,24 +65,24 @@
   ['lookup', 'plain'],
   ['draft', 'engine'],
 ] as const) {
-  test(`entries that a server has told of its limit keep it together: ${service}`, async (t) => {
+  test(`entries that know an upstream's limit obey it together: ${service}`, async (t) => {
     const rig = new PlatformRig();
     t.teardown(() => rig.close());
-    const servers = ['needy', 'other'].map((id) => new PlatformServer(id, service));
+    const servers = ['limited', 'other'].map((id) => new PlatformServer(id, service));
     for (const server of servers) server.models.set('m1', new Set());
     await rig.start(servers, true, ENTRIES);
-    const [needy] = servers;
-    needy!.limitPerS = LIMIT_PER_S;
-    const { toldPaths, statuses } = await askAll(rig, 'needy', kind);
-    t.true(toldPaths.size > 0);
-    // The other server has room for all of them.
+    const [limited] = servers;
+    limited!.limitPerS = LIMIT_PER_S;
+    const { informedPaths, statuses } = await callAll(rig, 'limited', kind);
+    t.true(informedPaths.size > 0);
+    // The other upstream has capacity for all of them.
     t.deepEqual([...statuses], [200]);
-    const arrivals = needy!.seen.filter(({ path }) => toldPaths.has(path));
-    t.true(mostInWindow(arrivals) <= allowed(LIMIT_PER_S), String(mostInWindow(arrivals)));
+    const arrivals = limited!.seen.filter(({ path }) => informedPaths.has(path));
+    t.true(maxInWindow(arrivals) <= allowed(LIMIT_PER_S), String(maxInWindow(arrivals)));
   });
 }
 
-test('all servers of a service have asked for less: callers are served at that rate, or told when to come', async (t) => {
+test('if all upstreams are limited, callers are served at that rate or refused with a retry-after time', async (t) => {
   const rig = new PlatformRig();
   t.teardown(() => rig.close());
   const server = new PlatformServer('only', 'plain');
@@ -108,7 +98,7 @@
     t.regex(body, /upstreams-limited/);
     t.regex(body, /"executed":"no"/);
   }
-  // Whoever comes again is served in its turn, and once the server takes what comes nobody waits.
+  // A caller that retries is served in time, and once the limit is lifted no caller waits.
   let status = 503;
   for (let at = 7; status !== 200; at += 1) ({ status } = await ask(at));
   server.limitPerS = undefined;
--- a/test/sharedrate.test.ts
+++ b/test/sharedrate.test.ts
@@ -2,7 +2,7 @@
 import fc from 'fast-check';
 import { VirtualClock, type UpstreamId } from '../src/base/index.js';
 import { firstSlotAtMs } from '../src/core/sharedrate/index.js';
-import { SlotBook, SlotDesk, type SlotAnswer } from '../src/direct/selfreport/index.js';
+import { SlotSchedule, SlotClient, type SlotAnswer } from '../src/direct/selfreport/index.js';
 import { RateWorld, type RateFault } from './support/rateworld.js';
 
 const ENTRY_COUNTS = [5, 25, 68];
@@ -104,7 +104,7 @@
 
 test('a slot goes to the most urgent waiting request, then to the oldest', async (t) => {
   const clock = new VirtualClock();
-  const book = new SlotBook({ clock, share: () => 1 });
+  const book = new SlotSchedule({ clock, share: () => 1 });
   const upstream = 'u' as UpstreamId;
   const order: string[] = [];
   const ask = (name: string, rank: number, waitMs: number) => {
@@ -132,9 +132,9 @@
 test('a slot is reserved for the request that waited for it, then free for any request', async (t) => {
   const clock = new VirtualClock();
   const draw = () => Promise.resolve({ type: 'granted' as const });
-  const client = new SlotDesk({ clock, draw });
+  const client = new SlotClient({ clock, draw });
   const upstream = 'u' as UpstreamId;
-  client.want([upstream], { asker: 'waiting', rank: 1, waitMs: 500 }, 0);
+  client.request([upstream], { asker: 'waiting', rank: 1, waitMs: 500 }, 0);
   await settle();
   t.is(client.opensInMs(upstream, 0, 'new'), Infinity);
   t.is(client.opensInMs(upstream, 0, 'waiting'), 0);
@@ -145,7 +145,7 @@
 test('waiting requests get an answer as soon as this process is no longer the holder', async (t) => {
   const clock = new VirtualClock();
   let share = 1;
-  const book = new SlotBook({ clock, share: () => share });
+  const book = new SlotSchedule({ clock, share: () => share });
   const question = { entry: 'e', news: { upstream: 'u' as UpstreamId }, rank: 1, waitMs: 3000 };
   await book.draw(question, 1);
   const waiting = book.draw(question, 1);
--- a/test/support/plainworld.ts
+++ b/test/support/plainworld.ts
@@ -120,7 +120,7 @@
       if (server.queue.length >= options.queue) {
         clock.after(LATENCY_MS, () => {
           current.inFlight -= 1;
-          this.fleets[entry]!.learn(state, 'full', { service: SERVICE }, clock.nowMs());
+          this.fleets[entry]!.recordOutcome(state, 'full', { service: SERVICE }, clock.nowMs());
           this.attempt(entry, arrivedAtMs, tried);
         });
         return;
@@ -152,8 +152,8 @@
     const fleet = this.fleets[job.entry]!;
     const state = fleet.get(server.id)!;
     state.inFlight -= 1;
-    fleet.learnLoad(state, report, nowMs);
-    fleet.learnService(state, nowMs - job.sentAtMs, job.load);
+    fleet.recordLoad(state, report, nowMs);
+    fleet.recordServiceTime(state, nowMs - job.sentAtMs, job.load);
     const tookMs = nowMs - job.arrivedAtMs;
     if (tookMs <= this.options.targetMs) this.inTime += 1;
     else if (tookMs <= this.options.deadlineMs) this.late += 1;
--- a/test/support/poisonworld.ts
+++ b/test/support/poisonworld.ts
@@ -9,7 +9,7 @@
   type ServiceId,
   type UpstreamId,
 } from '../../src/base/index.js';
-import { PoisonDesk } from '../../src/direct/poison/index.js';
+import { PoisonGuard } from '../../src/direct/poison/index.js';
 import type {
   ChangeFeed,
   KeyValue,
@@ -19,37 +19,37 @@
   SwapOutcome,
 } from '../../src/port/index.js';
 
-/** What troubles a run of the world. */
-interface PoisonDay {
+/** Load and faults of a run of the simulation. */
+interface PoisonScenario {
   readonly seed: number;
   readonly forMs: Ms;
   readonly entryCount: number;
   readonly upstreamCount: number;
-  /** Different requests that end each upstream that runs them. */
+  /** Number of different requests that crash each upstream that runs them. */
   readonly poisonCount: number;
-  /** How often each of them comes. */
+  /** Interval between arrivals of each of them. */
   readonly poisonPeriodMs: Ms;
-  /** Ends of upstreams a second that no request causes. */
+  /** Crashes of upstreams per second that no request causes. */
   readonly endsPerS: number;
-  /** How often a second connections of one upstream break that goes on. */
+  /** How often per second the connections of an upstream break that keeps running. */
   readonly resetsPerS: number;
-  /** How often a second entries are killed (one, or all), or are kept from the store. */
+  /** How often per second entries are killed (one or all), or are cut off from the store. */
   readonly killsPerS: number;
   readonly outagesPerS: number;
-  /** Turns one guard off, to show that the world finds its loss. */
-  readonly defect?: 'knows-alone' | 'keeps-nothing';
-  /** How often the caller of a sound request comes back for it. */
-  readonly comesBack: number;
+  /** Disables one protection, to show that the simulation detects its loss. */
+  readonly defect?: 'no-sharing' | 'no-storage';
+  /** How often the caller of a sound request retries it. */
+  readonly retryCount: number;
 }
 
-/** What came of it. */
+/** Result of a run. */
 interface PoisonOutcome {
-  /** For each crashing request: sends by entries in touch later than `CONTACT_MS` after its third end. */
+  /** For each crashing request: sends by connected entries later than `CONTACT_MS` after its third crash. */
   readonly lateSends: readonly number[];
-  /** Upstreams that ended under each crashing request. */
+  /** Upstreams that crashed under each crashing request. */
   readonly poisonEnds: readonly number[];
   readonly soundAsked: number;
-  /** Sound requests that were refused because of ends under them. */
+  /** Sound requests that were refused because of crashes under them. */
   readonly soundRefused: number;
 }
 
@@ -61,23 +61,23 @@
 
 interface Run {
   readonly entry: Entry;
-  readonly desk: PoisonDesk;
+  readonly guard: PoisonGuard;
   readonly content: ContentId;
   readonly isPoison: boolean;
   readonly upstream: Upstream;
   readonly sentAtMs: Ms;
   readonly isTrial: boolean;
-  /** How often its caller will come back yet. */
-  readonly comesBack: number;
+  /** Remaining retries of its caller. */
+  readonly retryCount: number;
 }
 
 interface Entry {
   readonly name: string;
-  desk: PoisonDesk;
+  guard: PoisonGuard;
   isUp: boolean;
   isCutOff: boolean;
-  /** When something was last done to it. */
-  struckAtMs: Ms;
+  /** When it was last killed or started. */
+  disturbedAtMs: Ms;
   revision: number;
 }
 
@@ -86,7 +86,7 @@
 const TICK_MS = 100;
 const REPORT_MS = 250;
 const HOP_MS = 6;
-/** The list tells of an end after three missed entries; entries hear within a second more. */
+/** The list shows a crash after three missed renewals; entries learn of it within another second. */
 const LAPSE_MS = 3600;
 const WATCH_MS = 400;
 const RESTART_MS = 3000;
@@ -100,7 +100,7 @@
 const SILENT: Log = { info: () => {}, warn: () => {}, error: () => {} };
 const UNCOUNTED: Metrics = { count: () => {}, gauge: () => {}, histogram: () => {} };
 
-/** Entries, upstreams and a store in virtual time; requests that end upstreams beside many that do not. */
+/** Simulates entries, upstreams and a store in virtual time, with crashing requests among many sound ones. */
 export class PoisonWorld {
   private readonly clock = new VirtualClock();
 
@@ -120,9 +120,9 @@
 
   private names = 0;
 
-  private readonly ends: number[];
+  private readonly crashCounts: number[];
 
-  private readonly thirdEndAtMs: (Ms | undefined)[];
+  private readonly thirdCrashAtMs: (Ms | undefined)[];
 
   private readonly lateSends: number[];
 
@@ -130,17 +130,17 @@
 
   private soundRefused = 0;
 
-  constructor(private readonly day: PoisonDay) {
-    this.generator = xoroshiro128plus(day.seed);
-    this.ends = Array<number>(day.poisonCount).fill(0);
-    this.lateSends = [...this.ends];
-    this.thirdEndAtMs = Array<undefined>(day.poisonCount).fill(undefined);
-    for (let at = 0; at < day.upstreamCount; at += 1) this.addUpstream();
-    for (let at = 0; at < day.entryCount; at += 1) {
+  constructor(private readonly scenario: PoisonScenario) {
+    this.generator = xoroshiro128plus(scenario.seed);
+    this.crashCounts = Array<number>(scenario.poisonCount).fill(0);
+    this.lateSends = [...this.crashCounts];
+    this.thirdCrashAtMs = Array<undefined>(scenario.poisonCount).fill(undefined);
+    for (let at = 0; at < scenario.upstreamCount; at += 1) this.addUpstream();
+    for (let at = 0; at < scenario.entryCount; at += 1) {
       const name = `entry-${at}`;
-      const fresh = { name, isUp: true, isCutOff: false, struckAtMs: -Infinity, revision: 0 };
+      const fresh = { name, isUp: true, isCutOff: false, disturbedAtMs: -Infinity, revision: 0 };
       const entry = fresh as unknown as Entry;
-      entry.desk = this.deskOf(entry);
+      entry.guard = this.guardOf(entry);
       this.entries.push(entry);
     }
     [this.holder] = this.entries;
@@ -148,7 +148,7 @@
 
   async run(): Promise<PoisonOutcome> {
     this.every(TICK_MS, () => {
-      for (const { desk, isUp } of this.entries) if (isUp) desk.tick();
+      for (const { guard, isUp } of this.entries) if (isUp) guard.tick();
     });
     this.every(REPORT_MS, () => {
       for (const entry of this.entries) this.report(entry);
@@ -156,23 +156,23 @@
     this.every(WATCH_MS, () => {
       for (const entry of this.entries) this.watch(entry);
     });
-    for (let at = 0; at < this.day.poisonCount; at += 1) {
-      this.every(this.day.poisonPeriodMs, () => {
+    for (let at = 0; at < this.scenario.poisonCount; at += 1) {
+      this.every(this.scenario.poisonPeriodMs, () => {
         void this.ask(`poison-${at}`, at);
       });
     }
-    while (this.clock.nowMs() < this.day.forMs) {
-      this.trouble();
+    while (this.clock.nowMs() < this.scenario.forMs) {
+      this.injectFaults();
       if (this.random() < (SOUND_PER_S * STEP_MS) / 1000) {
         this.names += 1;
         this.soundAsked += 1;
         void this.ask(`sound-${this.names}`, undefined);
       }
       this.clock.advanceTo(this.clock.nowMs() + STEP_MS);
-      // Answers between entries are promises: they come before the next step.
+      // Messages between entries are promises, which settle before the next step.
       for (let turn = 0; turn < 10; turn += 1) await Promise.resolve();
     }
-    const { lateSends, ends: poisonEnds, soundAsked, soundRefused } = this;
+    const { lateSends, crashCounts: poisonEnds, soundAsked, soundRefused } = this;
     return { lateSends, poisonEnds, soundAsked, soundRefused };
   }
 
@@ -191,19 +191,19 @@
     });
   }
 
-  private isHappening(perS: number): boolean {
+  private occurs(perS: number): boolean {
     return this.random() < (perS * STEP_MS) / 1000;
   }
 
-  private trouble(): void {
-    const { endsPerS, resetsPerS, killsPerS, outagesPerS } = this.day;
+  private injectFaults(): void {
+    const { endsPerS, resetsPerS, killsPerS, outagesPerS } = this.scenario;
     const up = this.upstreams.filter(({ isUp }) => isUp);
-    const ending = this.isHappening(endsPerS) ? this.pick(up) : undefined;
+    const ending = this.occurs(endsPerS) ? this.pick(up) : undefined;
     if (ending) this.crash(ending);
-    const resetting = this.isHappening(resetsPerS) ? this.pick(up) : undefined;
+    const resetting = this.occurs(resetsPerS) ? this.pick(up) : undefined;
     if (resetting) this.breakRuns(resetting);
-    if (this.isHappening(killsPerS)) this.kill(this.random() < 0.2);
-    if (this.isHappening(outagesPerS)) this.cutOff();
+    if (this.occurs(killsPerS)) this.kill(this.random() < 0.2);
+    if (this.occurs(outagesPerS)) this.cutOff();
   }
 
   private addUpstream(): void {
@@ -219,7 +219,7 @@
     this.clock.after(RESTART_MS, () => this.addUpstream());
     this.clock.after(LAPSE_MS, () => {
       this.upstreams.splice(this.upstreams.indexOf(upstream), 1);
-      for (const { desk, isUp } of this.entries) if (isUp) desk.upstreamGone(upstream.id);
+      for (const { guard, isUp } of this.entries) if (isUp) guard.upstreamGone(upstream.id);
     });
   }
 
@@ -227,27 +227,27 @@
     const { clock } = this;
     for (const run of upstream.runs) {
       this.over(run);
-      const { entry, desk, content, sentAtMs, isPoison } = run;
-      if (!entry.isUp || entry.desk !== desk) continue;
+      const { entry, guard, content, sentAtMs, isPoison } = run;
+      if (!entry.isUp || entry.guard !== guard) continue;
       const runMs = clock.nowMs() - sentAtMs;
       const { id } = upstream;
       const { isTrial } = run;
-      const named = { content, service: SERVICE, model: undefined, path: '/' };
-      desk.crashed({ ...named, upstream: id, runMs, isTrial });
-      if (!isPoison && run.comesBack > 0) void this.ask(content, undefined, run.comesBack - 1);
+      const request = { content, service: SERVICE, model: undefined, path: '/' };
+      guard.recordCrash({ ...request, upstream: id, runMs, isTrial });
+      if (!isPoison && run.retryCount > 0) void this.ask(content, undefined, run.retryCount - 1);
     }
   }
 
   private over(run: Run): void {
     run.upstream.runs.delete(run);
-    if (run.isTrial) run.desk.end(run.content);
+    if (run.isTrial) run.guard.end(run.content);
   }
 
   private kill(isAll: boolean): void {
-    const one = this.pick(this.entries);
-    for (const entry of isAll ? this.entries : [one!]) {
+    const picked = this.pick(this.entries);
+    for (const entry of isAll ? this.entries : [picked!]) {
       entry.isUp = false;
-      entry.struckAtMs = this.clock.nowMs();
+      entry.disturbedAtMs = this.clock.nowMs();
       for (const { runs } of this.upstreams) {
         for (const run of runs) if (run.entry === entry) runs.delete(run);
       }
@@ -266,11 +266,11 @@
   private start(started: Entry): void {
     const entry = started;
     if (entry.isUp) return;
-    entry.desk = this.deskOf(entry);
+    entry.guard = this.guardOf(entry);
     entry.isUp = true;
-    entry.struckAtMs = this.clock.nowMs();
+    entry.disturbedAtMs = this.clock.nowMs();
     entry.revision = this.changes.length;
-    for (const [key, item] of this.records) entry.desk.stored(key, item);
+    for (const [key, item] of this.records) entry.guard.stored(key, item);
     if (!this.holder) this.loseHolder();
   }
 
@@ -282,24 +282,24 @@
     });
   }
 
-  private deskOf(entry: Entry): PoisonDesk {
-    const { clock, day } = this;
+  private guardOf(entry: Entry): PoisonGuard {
+    const { clock, scenario } = this;
     const isAlone = () => this.holder === entry;
-    return new PoisonDesk({
+    return new PoisonGuard({
       host: `${entry.name}/${clock.nowMs()}`,
       clock,
       log: SILENT,
       metrics: UNCOUNTED,
-      keepMs: 3_600_000,
+      verdictValidMs: 3_600_000,
       prefix: PREFIX,
       swap: (swap) => this.swap(entry, swap),
       isHolder: isAlone,
-      askHolder: (question) =>
-        Promise.resolve(this.holder?.isUp ? this.holder.desk.hearTrial(question) : undefined),
-      tellSoon: () => {
+      requestTrial: (question) =>
+        Promise.resolve(this.holder?.isUp ? this.holder.guard.decideTrial(question) : undefined),
+      reportSoon: () => {
         clock.after(HOP_MS, () => this.report(entry));
       },
-      upstreamCount: () => this.upstreams.length || day.upstreamCount,
+      upstreamCount: () => this.upstreams.length || scenario.upstreamCount,
       isListed: (id) => this.upstreams.some((upstream) => upstream.id === id),
     });
   }
@@ -309,7 +309,7 @@
       ? this.entries.find(({ isUp, isCutOff }) => isUp && !isCutOff)
       : entry;
     await Promise.resolve();
-    const isLost = !way || !entry.isUp || this.day.defect !== undefined;
+    const isLost = !way || !entry.isUp || this.scenario.defect !== undefined;
     if (isLost) return result.Err({ type: 'store-unavailable' as const, detail: 'cut off' });
     return this.answerSwap(swap);
   }
@@ -337,20 +337,20 @@
   private watch(watching: Entry): void {
     const entry = watching;
     if (!entry.isUp || entry.isCutOff) return;
-    for (const { key, item } of this.changes.slice(entry.revision)) entry.desk.stored(key, item);
+    for (const { key, item } of this.changes.slice(entry.revision)) entry.guard.stored(key, item);
     entry.revision = this.changes.length;
   }
 
   private report(entry: Entry): void {
     const { holder } = this;
-    const { desk } = entry;
-    if (!entry.isUp || !holder || holder === entry || this.day.defect === 'knows-alone') return;
-    const report = desk.link.report();
+    const { guard } = entry;
+    if (!entry.isUp || !holder || holder === entry || this.scenario.defect === 'no-sharing') return;
+    const report = guard.sync.report();
     this.clock.after(HOP_MS, () => {
       if (!holder.isUp) return;
-      const answer = holder.desk.link.answer(report);
+      const answer = holder.guard.sync.answer(report);
       this.clock.after(HOP_MS, () => {
-        if (entry.isUp && entry.desk === desk) desk.link.answered(report, answer);
+        if (entry.isUp && entry.guard === guard) guard.sync.answered(report, answer);
       });
     });
   }
@@ -358,45 +358,45 @@
   private async ask(
     name: string,
     poison: number | undefined,
-    comesBack = this.day.comesBack,
+    retryCount = this.scenario.retryCount,
   ): Promise<void> {
     const entry = this.pick(this.entries.filter(({ isUp }) => isUp));
     if (!entry) return;
-    const { desk } = entry;
+    const { guard } = entry;
     const content = name as ContentId;
-    const verdict = desk.verdict(content);
+    const verdict = guard.verdict(content);
     const isTrial = verdict === 'suspect';
-    const mayRun = verdict !== 'poison' && (!isTrial || (await desk.begin(content)));
+    const mayRun = verdict !== 'poison' && (!isTrial || (await guard.beginTrial(content)));
     if (!mayRun) {
       if (poison === undefined) this.soundRefused += 1;
       return;
     }
     const upstream = this.pick(this.upstreams.filter(({ isUp }) => isUp));
     if (!upstream || !entry.isUp) {
-      if (isTrial) desk.end(content);
+      if (isTrial) guard.end(content);
       return;
     }
     const sentAtMs = this.clock.nowMs();
     const run: Run = {
-      ...{ entry, desk, content, upstream, sentAtMs, isTrial, comesBack },
+      ...{ entry, guard, content, upstream, sentAtMs, isTrial, retryCount },
       isPoison: poison !== undefined,
     };
     upstream.runs.add(run);
     if (poison === undefined) this.clock.after(this.random() * LONGEST_RUN_MS, () => this.end(run));
-    else this.endUnder(run, poison);
+    else this.crashUnder(run, poison);
   }
 
-  private endUnder(run: Run, poison: number): void {
+  private crashUnder(run: Run, poison: number): void {
     const nowMs = this.clock.nowMs();
-    const thirdMs = this.thirdEndAtMs[poison];
-    const isInTouch = nowMs - run.entry.struckAtMs > CONTACT_MS;
-    if (thirdMs !== undefined && nowMs - thirdMs > CONTACT_MS && isInTouch) {
+    const thirdCrashMs = this.thirdCrashAtMs[poison];
+    const isConnected = nowMs - run.entry.disturbedAtMs > CONTACT_MS;
+    if (thirdCrashMs !== undefined && nowMs - thirdCrashMs > CONTACT_MS && isConnected) {
       this.lateSends[poison]! += 1;
     }
     this.clock.after(20 + this.random() * LONGEST_CRASH_MS, () => {
       if (!run.upstream.isUp) return;
-      this.ends[poison]! += 1;
-      if (this.ends[poison] === 3) this.thirdEndAtMs[poison] = this.clock.nowMs();
+      this.crashCounts[poison]! += 1;
+      if (this.crashCounts[poison] === 3) this.thirdCrashAtMs[poison] = this.clock.nowMs();
       this.crash(run.upstream);
     });
   }
@@ -404,9 +404,9 @@
   private end(run: Run): void {
     if (!run.upstream.runs.has(run)) return;
     this.over(run);
-    const { entry, desk, content, upstream, sentAtMs } = run;
-    if (!entry.isUp || entry.desk !== desk) return;
-    desk.answered(upstream.id, sentAtMs);
-    if (!desk.isIdle) desk.ranWell(content);
+    const { entry, guard, content, upstream, sentAtMs } = run;
+    if (!entry.isUp || entry.guard !== guard) return;
+    guard.answered(upstream.id, sentAtMs);
+    if (!guard.isIdle) guard.recordCompletion(content);
   }
 }
--- a/test/support/quotaworld.ts
+++ b/test/support/quotaworld.ts
@@ -5,10 +5,10 @@
 import { quotaParts, type QuotaTerms } from '../../src/core/quota/index.js';
 import {
   Charge,
-  QuotaBook,
-  QuotaDesk,
+  QuotaLedger,
+  QuotaClient,
   type DrawAnswer,
-  type DrawQuestion,
+  type DrawRequest,
 } from '../../src/direct/quota/index.js';
 
 /** One simulated customer: its limit, and what it sends. */
@@ -48,8 +48,8 @@
 
 interface Entry {
   readonly id: HostId;
-  client: QuotaDesk;
-  book: QuotaBook;
+  client: QuotaClient;
+  book: QuotaLedger;
   /** Fraction of all callers that use this entry. */
   readonly weight: number;
   downUntilMs: Ms;
@@ -106,7 +106,7 @@
       const times = { downUntilMs: 0, cutUntilMs: 0, frozenUntilMs: 0, reportAtMs: at * 7 };
       return { id, weight: weight / sum, ...this.parts(at, id), ...times };
     });
-    this.entries[0]!.book.took(true);
+    this.entries[0]!.book.takeOver(true);
   }
 
   /** Runs the simulation; callers start after `WARM_MS`, since entries start before traffic does. */
@@ -145,13 +145,13 @@
     return this.tallies[at]!.sends.reduce((sum, { cost }) => sum + cost, 0);
   }
 
-  private parts(at: number, entry: HostId): { client: QuotaDesk; book: QuotaBook } {
+  private parts(at: number, entry: HostId): { client: QuotaClient; book: QuotaLedger } {
     const { entryCount } = this.options;
     const parts = () => quotaParts(entryCount);
     const { clock } = this;
     const mayGrant = () =>
       at === this.holder && clock.nowMs() < this.renewedAtMs + LEASE_MS && this.isUp(at);
-    const book = new QuotaBook({
+    const book = new QuotaLedger({
       clock,
       terms: TERMS,
       parts,
@@ -159,11 +159,11 @@
       mayGrant,
     });
     book.limit(this.access);
-    const draw = (question: DrawQuestion) => this.draw(at, question);
-    return { book, client: new QuotaDesk({ entry, clock, terms: TERMS, parts, draw }) };
+    const draw = (question: DrawRequest) => this.draw(at, question);
+    return { book, client: new QuotaClient({ entry, clock, terms: TERMS, parts, draw }) };
   }
 
-  private draw(from: number, question: DrawQuestion): Promise<DrawAnswer | undefined> {
+  private draw(from: number, question: DrawRequest): Promise<DrawAnswer | undefined> {
     const { clock, holder } = this;
     return new Promise((resolve) => {
       if (!this.reaches(from, holder)) {
@@ -230,7 +230,7 @@
     if (next < 0) return;
     this.holder = next;
     this.renewedAtMs = nowMs;
-    this.entries[next]!.book.took(false);
+    this.entries[next]!.book.takeOver(false);
   }
 
   private applyDueFaults(nowMs: Ms): void {
@@ -252,7 +252,7 @@
       this.clock.after(untilMs - this.clock.nowMs(), () => {
         Object.assign(entry, this.parts(at, entry.id));
         // A process that restarts on the holder's host is still the holder.
-        if (at === this.holder) entry.book.took(false);
+        if (at === this.holder) entry.book.takeOver(false);
       });
     }
   }
--- a/test/support/rateworld.ts
+++ b/test/support/rateworld.ts
@@ -2,8 +2,8 @@
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { VirtualClock, type Ms, type UpstreamId } from '../../src/base/index.js';
 import { rateRules } from '../../src/core/sharedrate/index.js';
-import type { SlotAsk } from '../../src/direct/route/index.js';
-import { SlotBook, SlotDesk, type SlotAnswer } from '../../src/direct/selfreport/index.js';
+import type { SlotWaiter } from '../../src/direct/route/index.js';
+import { SlotSchedule, SlotClient, type SlotAnswer } from '../../src/direct/selfreport/index.js';
 
 /** A fault of an entry, the holder or the store at a given time. */
 export interface RateFault {
@@ -39,8 +39,8 @@
 
 interface Entry {
   readonly number: number;
-  client: SlotDesk;
-  book: SlotBook;
+  client: SlotClient;
+  book: SlotSchedule;
   parts: Part[];
   startsAtMs: Ms;
   downUntilMs: Ms;
@@ -138,10 +138,10 @@
   private partsOf(at: number): Pick<Entry, 'client' | 'book' | 'parts'> {
     const { clock } = this;
     const share = () => this.shareOf(at);
-    const book = new SlotBook({ clock, share });
-    const draw = (upstream: UpstreamId, ask: SlotAsk) => this.draw(at, upstream, ask);
+    const book = new SlotSchedule({ clock, share });
+    const draw = (upstream: UpstreamId, ask: SlotWaiter) => this.draw(at, upstream, ask);
     const parts = this.options.limits.map(() => ({ level: 0, filledAtMs: clock.nowMs() }));
-    return { book, client: new SlotDesk({ clock, draw }), parts };
+    return { book, client: new SlotClient({ clock, draw }), parts };
   }
 
   private shareOf(at: number): number {
@@ -153,7 +153,7 @@
   private draw(
     from: number,
     upstream: UpstreamId,
-    { rank, waitMs }: SlotAsk,
+    { rank, waitMs }: SlotWaiter,
   ): Promise<SlotAnswer | undefined> {
     const { clock, holder } = this;
     const ratePerS = this.options.limits[Number(upstream)]!;
@@ -205,7 +205,7 @@
       rank: 1,
       waitMs: Math.max(0, leftMs - rateRules.minUsableMs),
     };
-    if (this.options.method !== 'parts') entry.client.want(ids, ask, nowMs);
+    if (this.options.method !== 'parts') entry.client.request(ids, ask, nowMs);
     return false;
   }
 
@@ -237,7 +237,7 @@
     if (next < 0) return;
     this.holder = next;
     this.renewedAtMs = nowMs;
-    this.entries[next]!.book.took();
+    this.entries[next]!.book.takeOver();
   }
 
   private applyDueFaults(nowMs: Ms): void {
@@ -265,7 +265,7 @@
       this.clock.after(forMs, () => {
         Object.assign(entry, this.partsOf(at));
         // A process that restarts on the holder's host is still the holder.
-        if (at === this.holder) entry.book.took();
+        if (at === this.holder) entry.book.takeOver();
       });
     }
   }
--- a/test/suspectprobe.test.ts
+++ b/test/suspectprobe.test.ts
@@ -7,7 +7,7 @@
 const SERVICE = 'redactor' as never;
 const A = 'redactor-1' as UpstreamId;
 
-test('an upstream in doubt is asked until it answers, and is taken back', (t) => {
+test('a suspected upstream is probed until it answers, and is then ready again', (t) => {
   const clock = new VirtualClock();
   let isBack = false;
   let askedCount = 0;
@@ -31,6 +31,6 @@
   t.is(router.phases(SERVICE).get(A), 'ready');
   const asked = askedCount;
   clock.advanceTo(60_000);
-  t.is(askedCount, asked, 'nobody is asked once the doubt is over');
+  t.is(askedCount, asked, 'no probe follows once the upstream is ready');
   router.close();
 });
