--- a/src/core/ticket/adopt.ts
+++ b/src/core/ticket/adopt.ts
@@ -42,7 +42,7 @@
   nowMs: Ms,
 ): Change<TableState, TableEffect> {
   if (given.leaving) {
-    const refusal = refuse('upstream-leaving', 'Upstream is leaving.');
+    const refusal = refuse('upstream-leaving', 'This upstream is draining.');
     return { state: given, effects: [{ type: 'refuse', callId, refusal }] };
   }
   let { state } = sweep(given, nowMs);
