--- a/bench/path/linkclient.ts
+++ b/bench/path/linkclient.ts
@@ -1,5 +1,5 @@
 import { systemClock } from '../../src/base/index.js';
-import { SharedLink, type Asked } from '../../src/entry/link/index.js';
+import { SharedLink, type SentAttempt } from '../../src/entry/link/index.js';
 import { RequestHead } from '../../src/wire/index.js';
 import { StreamLink } from './streamlink.js';
 
@@ -22,7 +22,7 @@
 function ask(index: number): void {
   let taken = 0;
   const address = `127.0.0.1:${ports[index % ports.length]}`;
-  const asked: Asked = link.ask(address, `request-${index}-0123456`, 1, head, {
+  const asked: SentAttempt = link.ask(address, `request-${index}-0123456`, 1, head, {
     take: ({ body }) => {
       if (body?.$case === 'end') asked.done();
       if (body?.$case !== 'data') return;
--- a/bench/path/streamlink.ts
+++ b/bench/path/streamlink.ts
@@ -1,5 +1,5 @@
 import { credentials } from '@grpc/grpc-js';
-import type { Asked, Link, Receiver } from '../../src/entry/link/index.js';
+import type { SentAttempt, Link, FrameReceiver } from '../../src/entry/link/index.js';
 import { channelOptions } from '../../src/shell/rpc/index.js';
 import { WorkClient, type Frame, type FrameBatch, type RequestHead } from '../../src/wire/index.js';
 
@@ -12,8 +12,8 @@
     requestId: string,
     attempt: number,
     head: RequestHead,
-    receiver: Receiver,
-  ): Asked {
+    receiver: FrameReceiver,
+  ): SentAttempt {
     const call = this.client(sidecarAddress).exchange();
     let sequence = 0;
     const send = (body: NonNullable<Frame['body']>) => {
--- a/src/entry/answer/body.ts
+++ b/src/entry/answer/body.ts
@@ -1,12 +1,15 @@
 import type { Refusal } from '../../wire/index.js';
 
-/** How the body of one answer goes to the caller. */
+/** Sends the body of one answer to the caller. */
 export interface Body {
-  /** True once the caller has been sent a part of it. */
-  readonly passed: boolean;
-  /** False if the caller does not keep up. */
+  /** True once a part of the body has been sent to the caller. */
+  readonly hasSent: boolean;
+  /** Writes a part of the body. Returns false if the caller does not keep up. */
   data(payload: Buffer): boolean;
   end(): void;
-  /** Ends it so that the caller knows it is not whole; false if that needs a fresh answer. */
+  /**
+   * Ends the body so that the caller can tell that it is incomplete. Returns false if nothing has been sent yet, so that
+   * a complete error response is still possible.
+   */
   fail(refusal: Refusal): boolean;
 }
--- a/src/entry/answer/heldbody.ts
+++ b/src/entry/answer/bufferedbody.ts
@@ -2,11 +2,11 @@
 import type { Body } from './body.js';
 
 /**
- * A body that is held until it is whole, so that the status tells the truth. Past its limit it is
- * passed on, and can then only be broken off by closing the connection.
+ * A body that is buffered until it is complete, so that a failure can still change the status code. Past the limit the
+ * body is sent as it arrives; a failure can then only be signalled by closing the connection.
  */
-export class HeldBody implements Body {
-  passed = false;
+export class BufferedBody implements Body {
+  hasSent = false;
 
   private readonly held: Buffer[] = [];
 
@@ -19,17 +19,17 @@
   ) {}
 
   data(payload: Buffer): boolean {
-    if (this.passed) return this.response.write(payload);
+    if (this.hasSent) return this.response.write(payload);
     this.held.push(payload);
     this.sizeBytes += payload.length;
     if (this.sizeBytes <= this.limitBytes) return true;
-    this.passed = true;
+    this.hasSent = true;
     this.writeHead();
     return this.response.write(Buffer.concat(this.held.splice(0)));
   }
 
   end(): void {
-    if (this.passed) {
+    if (this.hasSent) {
       this.response.end();
       return;
     }
@@ -38,7 +38,7 @@
   }
 
   fail(): boolean {
-    if (!this.passed) return false;
+    if (!this.hasSent) return false;
     this.response.destroy();
     return true;
   }
--- a/src/entry/answer/calleranswer.ts
+++ b/src/entry/answer/calleranswer.ts
@@ -2,7 +2,7 @@
 import type { Header, Refusal } from '../../wire/index.js';
 import { sendProblem } from '../sendproblem.js';
 import type { Body } from './body.js';
-import { HeldBody } from './heldbody.js';
+import { BufferedBody } from './bufferedbody.js';
 import { StreamedBody } from './streamedbody.js';
 
 const NO_BODY_STATUS = new Set([204, 304]);
@@ -13,37 +13,37 @@
   );
 }
 
-/** The answer to one caller. Attempts may begin it anew until the first byte has been passed on. */
+/** The answer to one caller. A new attempt may restart it until the first byte has been sent. */
 export class CallerAnswer {
   private body: Body | undefined;
 
   constructor(
     private readonly response: ServerResponse,
     private readonly requestId: string,
-    private readonly heldBytes: number,
+    private readonly bufferedBytes: number,
   ) {}
 
-  /** True once the caller has been sent a part of the answer. */
-  get passed(): boolean {
-    return this.body?.passed ?? false;
+  /** True once a part of the answer has been sent to the caller. */
+  get hasSent(): boolean {
+    return this.body?.hasSent ?? false;
   }
 
   start(status: number, headers: readonly Header[]): void {
-    if (this.passed) return;
+    if (this.hasSent) return;
     const { response, requestId } = this;
     const writeHead = (sizeBytes?: number) => this.writeHead(status, headers, sizeBytes);
     this.body = isStream(headers)
       ? new StreamedBody(response, requestId, writeHead)
-      : new HeldBody(response, this.heldBytes, writeHead);
+      : new BufferedBody(response, this.bufferedBytes, writeHead);
   }
 
-  /** False if the caller does not keep up: see `whenFree`. */
+  /** Returns false if the caller does not keep up: see `onDrain`. */
   data(payload: Buffer): boolean {
     return this.body?.data(payload) ?? true;
   }
 
-  /** Calls `act` once, when the caller has taken what it was sent. */
-  whenFree(act: () => void): void {
+  /** Calls `act` once, when the caller has read what was sent. */
+  onDrain(act: () => void): void {
     this.response.once('drain', act);
   }
 
@@ -56,7 +56,7 @@
     sendProblem(this.response, refusal, this.requestId);
   }
 
-  /** Gives up a caller that takes nothing. */
+  /** Disconnects a caller that has stopped reading. */
   disconnect(): void {
     this.response.destroy();
   }
--- a/src/entry/answer/index.ts
+++ b/src/entry/answer/index.ts
@@ -1,2 +1,2 @@
-/** Answers on their way to callers: streams as they arrive, other bodies once they are whole. */
+/** Sends answers to callers: streams as they arrive, other bodies once they are complete. */
 export { CallerAnswer } from './calleranswer.js';
--- a/src/entry/answer/streamedbody.ts
+++ b/src/entry/answer/streamedbody.ts
@@ -3,9 +3,9 @@
 import type { Refusal } from '../../wire/index.js';
 import type { Body } from './body.js';
 
-/** Server-sent events, passed on as they arrive. */
+/** Server-sent events, sent to the caller as they arrive. */
 export class StreamedBody implements Body {
-  passed = false;
+  hasSent = false;
 
   constructor(
     private readonly response: ServerResponse,
@@ -14,20 +14,20 @@
   ) {}
 
   data(payload: Buffer): boolean {
-    if (!this.passed) {
-      this.passed = true;
+    if (!this.hasSent) {
+      this.hasSent = true;
       this.writeHead();
     }
     return this.response.write(payload);
   }
 
   end(): void {
-    if (!this.passed) this.writeHead();
+    if (!this.hasSent) this.writeHead();
     this.response.end();
   }
 
   fail(refusal: Refusal): boolean {
-    if (!this.passed) return false;
+    if (!this.hasSent) return false;
     const { body } = problem(refusal, this.requestId);
     this.response.end(`event: error\ndata: ${body}\n\n`);
     return true;
--- a/src/entry/boarddirectory.ts
+++ b/src/entry/boarddirectory.ts
@@ -2,13 +2,13 @@
 import { readDocument, type ServiceDocument } from '../core/document/index.js';
 import type { Log, Metrics } from '../port/index.js';
 import type { Board, BoardRecord } from '../shell/board/index.js';
-import type { Directory } from './part/index.js';
+import type { Directory } from './component/index.js';
 
-const DOCUMENTS = 'document/';
+const DOCUMENT_PREFIX = 'document/';
 
 /**
- * The documents of the board, each read once for each change. A text that cannot be read leaves the
- * last good one in force, and is logged and counted.
+ * The service documents on the board, parsed once per change. If a new text cannot be parsed, the last valid document
+ * stays in force; the failure is logged and counted.
  */
 export class BoardDirectory implements Directory {
   private readonly inForce = new Map<string, ServiceDocument>();
@@ -20,8 +20,8 @@
     private readonly log: Log,
     private readonly metrics: Metrics,
   ) {
-    for (const record of board.list(DOCUMENTS)) this.take(record);
-    board.onChange(DOCUMENTS, (record) => this.take(record));
+    for (const record of board.list(DOCUMENT_PREFIX)) this.take(record);
+    board.onChange(DOCUMENT_PREFIX, (record) => this.take(record));
   }
 
   revision(): Revision {
--- /dev/null
+++ b/src/entry/component/binding.ts
@@ -0,0 +1,17 @@
+import type { Choice } from './choice.js';
+
+/** Whether a request is bound to the ticket table of one sidecar. */
+export type Binding =
+  | {
+      /** No ticket and no idempotency key: any upstream may run the request. */
+      readonly type: 'free';
+    }
+  | {
+      /**
+       * Every attempt goes to the upstream that holds this ticket, and nowhere else. The head of each attempt carries
+       * `ticket` and `choice.incarnation`.
+       */
+      readonly type: 'bound';
+      readonly ticket: string;
+      readonly choice: Choice;
+    };
--- a/src/entry/part/bindask.ts
+++ b/src/entry/component/bindrequest.ts
@@ -3,8 +3,8 @@
 import type { Refusal } from '../../wire/index.js';
 import type { Choice } from './choice.js';
 
-/** A caller's request as the run-once part has to know it. */
-export interface BindAsk {
+/** A caller's request, as required to bind it to a ticket. */
+export interface BindRequest {
   readonly requestId: RequestId;
   readonly customer: CustomerId;
   readonly service: ServiceId;
@@ -13,11 +13,11 @@
   /** `Idempotency-Key`, if the caller sent one. */
   readonly idempotencyKey: string | undefined;
   readonly method: string;
-  /** Path with its query, as it goes to the upstream. */
+  /** Path and query, as sent to the upstream. */
   readonly path: string;
   readonly body: Uint8Array;
-  /** Longest life of a ticket, from the service document. */
+  /** Maximum lifetime of a ticket, from the service document. */
   readonly ticketValidMs: Ms;
-  /** Chooses an upstream to ask for a new ticket, other than those tried; called only if one is needed. */
+  /** Chooses an upstream, not in `tried`, to issue a new ticket; called only if a new ticket is required. */
   choose(tried: readonly UpstreamId[]): Promise<Result<Choice, Refusal>>;
 }
--- a/src/entry/part/context.ts
+++ b/src/entry/component/context.ts
@@ -4,7 +4,7 @@
 import type { EntrySettings } from '../entrysettings.js';
 import type { Link } from '../link/index.js';
 
-/** What each part of an entry is built from. */
+/** What each component of an entry is built from: settings, ports and the shared board. */
 export interface Context {
   readonly settings: EntrySettings;
   readonly clock: Clock;
--- a/src/entry/part/index.ts
+++ b/src/entry/component/index.ts
@@ -1,5 +1,5 @@
-/** What the entry's shell asks of its parts: each is one interface with one implementation. */
-export type { BindAsk } from './bindask.js';
+/** Interfaces of the entry's components: directory, router and tickets. */
+export type { BindRequest } from './bindrequest.js';
 export type { Binding } from './binding.js';
 export type { Choice } from './choice.js';
 export type { Context } from './context.js';
@@ -7,4 +7,4 @@
 export type { Outcome } from './outcome.js';
 export type { Router } from './router.js';
 export type { Tickets } from './tickets.js';
-export type { Want } from './want.js';
+export type { RouteRequest } from './routerequest.js';
--- a/src/entry/part/outcome.ts
+++ b/src/entry/component/outcome.ts
@@ -1,12 +1,12 @@
 import type { UpstreamId } from '../../base/index.js';
 import type { Refusal, UpstreamLoad } from '../../wire/index.js';
-import type { Want } from './want.js';
+import type { RouteRequest } from './routerequest.js';
 
-/** What became of one attempt; the router learns load and health from it. */
+/** How one attempt ended; the router derives load and health of the upstream from it. */
 export interface Outcome {
   readonly upstream: UpstreamId;
-  readonly want: Want;
-  /** `cancelled` says nothing of the upstream: its caller left, or it was not asked after all. */
+  readonly request: RouteRequest;
+  /** `cancelled` implies nothing about the upstream: the caller left, or the request was not sent after all. */
   readonly type: 'answered' | 'refused' | 'broken' | 'unreachable' | 'cancelled';
   readonly firstTokenMs?: number;
   readonly load?: UpstreamLoad;
--- a/src/entry/connections.ts
+++ b/src/entry/connections.ts
@@ -2,10 +2,10 @@
 import { Server as SecureServer } from 'node:https';
 import type { Socket } from 'node:net';
 
-/** Connections past the limit are answered with a refusal, but no more than so many at once. */
+/** Connections past the limit that are open at once to receive a refusal; any further ones are closed unanswered. */
 const REFUSED_CONNECTIONS = 64;
 
-/** The callers' connections of one server. */
+/** Tracks and limits the open connections of callers at one server. */
 export class Connections {
   private readonly open = new Set<Socket>();
 
@@ -15,20 +15,20 @@
     private readonly server: Server,
     readonly limit: number,
   ) {
-    // Over TLS, a request's socket is the one that this event brings.
+    // Over TLS, a request refers to the socket of this event and not to the raw TCP socket.
     const event = server instanceof SecureServer ? 'secureConnection' : 'connection';
     server.on(event, (socket: Socket) => this.add(socket));
   }
 
-  /** False for a connection that came when the limit was reached. */
+  /** False for a connection that was opened when the limit had been reached. */
   isAdmitted(socket: Socket): boolean {
     return this.admitted.has(socket);
   }
 
-  /** Closes the connections on which no request has begun. */
+  /** Closes the connections that carry no request. */
   closeUnused(): void {
     this.server.closeIdleConnections();
-    // Node takes a connection that has not sent anything for one in use.
+    // Node does not count a connection that has never sent a byte as idle.
     for (const socket of this.open) if (socket.bytesRead === 0) socket.destroy();
   }
 
--- a/src/entry/continuer.ts
+++ b/src/entry/continuationbuffer.ts
@@ -3,25 +3,28 @@
 
 type Rewrite = (payload: Buffer) => Buffer;
 
-/** Keeps what a caller has been sent of a stream, and fits a continued answer to it. */
-export class Continuer {
+/**
+ * Buffers what has been sent to a caller of a stream, so that another engine can continue it, and rewrites the continued
+ * answer to match what was sent before.
+ */
+export class ContinuationBuffer {
   private readonly held: HeldAnswer | undefined;
 
   private rewrite: Rewrite | undefined;
 
-  /** Without a limit nothing is kept, and nothing can be continued. */
+  /** Without a limit nothing is buffered, and the stream cannot be continued. */
   constructor(limitBytes: number | undefined) {
     if (limitBytes !== undefined) this.held = new HeldAnswer(limitBytes);
   }
 
-  /** Takes a payload of the engine, and gives what the caller is to be sent. */
-  pass(payload: Buffer): Buffer {
-    const own = this.rewrite ? this.rewrite(payload) : payload;
-    this.held?.add(own);
-    return own;
+  /** Takes a payload of the engine; returns the payload to send to the caller. */
+  forward(payload: Buffer): Buffer {
+    const rewritten = this.rewrite ? this.rewrite(payload) : payload;
+    this.held?.add(rewritten);
+    return rewritten;
   }
 
-  /** True if another engine can go on from here. */
+  /** True if another engine can continue the stream from here. */
   canContinue(): boolean {
     return this.held?.continuation() !== undefined;
   }
@@ -31,8 +34,8 @@
     return this.held?.hasEnded() ?? false;
   }
 
-  /** What the next engine is given; what it sends is rewritten from now on. */
-  next(): Continuation | undefined {
+  /** Returns what the next engine continues from. The payloads of that engine are rewritten from now on. */
+  startContinuation(): Continuation | undefined {
     const continuation = this.held?.continuation();
     if (!this.held || !continuation) return undefined;
     this.rewrite = continuedEvents(this.held.streamTemplate(), continuation.tokenCount);
--- a/src/entry/createapp.ts
+++ b/src/entry/createapp.ts
@@ -4,34 +4,37 @@
 import { settle, type RequestId } from '../base/index.js';
 import { refuse } from '../core/refusal/index.js';
 import { Executed } from '../wire/index.js';
-import type { Desk } from './desk.js';
+import type { EntryContext } from './entrycontext.js';
 import { routes } from './handler/index.js';
 import { sendProblem } from './sendproblem.js';
 
-type Handle = (typeof routes)[number]['handler'];
+type Handler = (typeof routes)[number]['handler'];
 
-function nodeHandler(desk: Desk, handle: Handle): NodeHandler {
+function toNodeHandler(context: EntryContext, handler: Handler): NodeHandler {
   const listen = async (request: IncomingMessage, response: ServerResponse) => {
     const requestId = nanoid<RequestId>();
     try {
-      await handle(desk, { requestId, request, response });
+      await handler(context, { requestId, request, response });
     } catch (thrown) {
       const { type, detail } = settle('internal', thrown);
-      desk.log.error('request failed', { requestId, detail });
+      context.log.error('request handler threw an exception; the caller gets an internal error', {
+        requestId,
+        detail,
+      });
       const refusal = refuse(type, detail, { executed: Executed.EXECUTED_UNKNOWN });
       if (response.headersSent) response.destroy();
       else sendProblem(response, refusal, requestId);
     }
   };
-  // h3 types its requests for HTTP/2 as well, which the listener does not speak.
+  // The types of h3 also cover HTTP/2 requests, which the listener does not accept.
   return listen as NodeHandler;
 }
 
-/** The entry's paths as an h3 application. */
-export function createApp(desk: Desk): H3 {
+/** Creates the h3 application that serves the entry's routes. */
+export function createApp(context: EntryContext): H3 {
   const app = new H3();
   for (const { method, path, handler } of routes) {
-    app.on(method, path, fromNodeHandler(nodeHandler(desk, handler)));
+    app.on(method, path, fromNodeHandler(toNodeHandler(context, handler)));
   }
   return app;
 }
--- a/src/entry/createdesk.ts
+++ b/src/entry/createentrycontext.ts
@@ -6,7 +6,7 @@
 import { createStore } from '../shell/store/index.js';
 import { peerCredentials } from '../shell/tls/index.js';
 import { defaultLimits } from './defaultlimits.js';
-import type { Desk } from './desk.js';
+import type { EntryContext } from './entrycontext.js';
 import type { EntrySettings } from './entrysettings.js';
 import { Gate } from './gate.js';
 import { KeyIndex } from './keyindex.js';
@@ -17,7 +17,7 @@
 import { createRouter } from './wiring/createrouter.js';
 import { createTickets } from './wiring/createtickets.js';
 
-function createContext(settings: EntrySettings) {
+function createDependencies(settings: EntrySettings) {
   const log = createLog('entry', settings.logLevel);
   const clock = createHostClock(log);
   const metrics = createMetrics('entry', settings.statsd ?? undefined);
@@ -34,19 +34,19 @@
   return { ...drivers, link, board, audit: createAudit(log) };
 }
 
-/** Builds all that the handlers of an entry share. */
-export async function createDesk(settings: EntrySettings): Promise<Desk> {
-  const context = createContext(settings);
-  const directory = createDirectory(context);
-  const router = createRouter(context, directory);
+/** Creates what all request handlers of an entry share. */
+export async function createEntryContext(settings: EntrySettings): Promise<EntryContext> {
+  const dependencies = createDependencies(settings);
+  const directory = createDirectory(dependencies);
+  const router = createRouter(dependencies, directory);
   const limits = { ...defaultLimits, ...settings.limits };
   const { h64ToString } = await xxhash();
   return {
-    ...context,
+    ...dependencies,
     directory,
     router,
-    planner: createPlanner(context, directory, router),
-    tickets: createTickets(context, directory),
+    planner: createPlanner(dependencies, directory, router),
+    tickets: createTickets(dependencies, directory),
     limits,
     gate: new Gate(limits),
     keys: new KeyIndex(),
--- a/src/entry/defaultlimits.ts
+++ b/src/entry/defaultlimits.ts
@@ -1,6 +1,6 @@
 import type { EntryLimits } from './entrylimits.js';
 
-/** Limits of an entry whose settings name none. */
+/** Default limits of an entry, for those that its settings omit. */
 export const defaultLimits: EntryLimits = {
   inFlight: 4000,
   inFlightPerCustomer: 3000,
--- a/src/entry/desk.ts
+++ b/src/entry/entrycontext.ts
@@ -3,12 +3,12 @@
 import type { EntryLimits } from './entrylimits.js';
 import type { Gate } from './gate.js';
 import type { KeyIndex } from './keyindex.js';
-import type { Live } from './live.js';
+import type { InFlightRequest } from './inflightrequest.js';
 import type { Planner } from './planner/index.js';
-import type { Context, Directory, Router, Tickets } from './part/index.js';
+import type { Context, Directory, Router, Tickets } from './component/index.js';
 
-/** What the handlers of callers' requests share. */
-export interface Desk extends Context {
+/** What all request handlers of an entry share. */
+export interface EntryContext extends Context {
   readonly board: MeshBoard;
   readonly credentials: PeerCredentials;
   readonly directory: Directory;
@@ -18,8 +18,8 @@
   readonly limits: EntryLimits;
   readonly gate: Gate;
   readonly keys: KeyIndex;
-  /** Hash of a prompt's leading block. */
+  /** Hashes the leading block of a prompt. */
   readonly hashPrefix: (text: string) => string;
   /** Requests in flight. */
-  readonly runs: Set<Live>;
+  readonly runs: Set<InFlightRequest>;
 }
--- a/src/entry/entrylimits.ts
+++ b/src/entry/entrylimits.ts
@@ -1,25 +1,25 @@
 import type { Ms } from '../base/index.js';
 
-/** Bounds on what callers may ask of one entry. */
+/** Limits that one entry imposes on callers. */
 export interface EntryLimits {
   /** Requests in flight at this entry. */
   readonly inFlight: number;
-  /** Requests in flight for one customer, unless its document gives another number. */
+  /** Requests in flight for one customer, unless the service document sets another limit. */
   readonly inFlightPerCustomer: number;
-  /** Open connections of callers. */
+  /** Open caller connections. */
   readonly connections: number;
-  /** All headers of one request together. */
+  /** Total size of the headers of one request. */
   readonly headerBytes: number;
-  /** A whole request has to arrive within this. */
+  /** Time within which a complete request has to arrive. */
   readonly requestTimeoutMs: Ms;
-  /** An answer that is not a stream is held until it is whole, up to this size. */
+  /** An answer that is not a stream is buffered until it is complete, up to this size. */
   readonly heldAnswerBytes: number;
-  /** Sent text that is held so that another engine can continue a broken stream. */
+  /** Sent text that is buffered per stream, so that another engine can continue it after a failure. */
   readonly continuationBytes: number;
-  /** A stream without any frame for so long is broken. */
+  /** A stream that receives no frame for this long counts as broken. */
   readonly stallMs: Ms;
-  /** A caller that takes nothing for so long is disconnected. */
+  /** A caller that reads nothing for this long is disconnected. */
   readonly callerStallMs: Ms;
-  /** How long after its deadline an answer that has begun upstream is still waited for. */
+  /** How long past its deadline a request that was sent to an upstream still waits for the answer to start. */
   readonly lateAnswerMs: Ms;
 }
--- a/src/entry/entryschema.ts
+++ b/src/entry/entryschema.ts
@@ -10,7 +10,7 @@
 const MAX_PORT = 65_535;
 const DEFAULT_BODY_BYTES = 1_048_576;
 
-/** Each limit by its name, with its default. */
+/** Schema of each limit, by name, with its default. */
 const limits = Object.fromEntries(
   Object.entries(defaultLimits).map(([name, value]) => [
     name,
--- a/src/entry/entrysettings.ts
+++ b/src/entry/entrysettings.ts
@@ -3,37 +3,37 @@
 import type { KeySettings, PeerSettings } from '../shell/tls/index.js';
 import type { EntryLimits } from './entrylimits.js';
 
-/** Settings of an entry. Addresses are IP numbers with a port. */
+/** Settings of an entry. Addresses consist of an IP address and a port. */
 export interface EntrySettings {
   readonly hostId: string;
   readonly region: string;
   readonly availabilityZone: string;
-  /** Where callers reach this entry. */
+  /** Address of the HTTP listener for callers. */
   readonly listen: { readonly host: string; readonly port: number };
   /**
-   * IP number and port of the gRPC listener by which other processes reach this entry, as the host list
-   * shows it; without it this entry only asks others and is told nothing.
+   * IP address and port of the gRPC listener for other processes, as the host list shows it. Without it this entry
+   * pulls records from its peers, but they cannot push records to it.
    */
   readonly meshListen?: string | null;
-  /** The platform's list of hosts; without it this entry has no peers. */
+  /** The platform's host list; without it this entry has no peers. */
   readonly hostList?: HostListSettings | null;
-  /** Documents read from files at the start, for trials without a store. */
+  /** Files of service documents that are read at the start, for trials without a store. */
   readonly documents?: string[];
   readonly logLevel: string;
-  /** How long a planned stop may wait for what is in flight. */
+  /** How long a planned stop may wait for requests in flight. */
   readonly drainTimeoutMs: number;
-  /** Largest request body that is read. */
+  /** Largest accepted request body. */
   readonly bodyBytes: number;
-  /** The platform's key-value service; without it, documents come from files and nothing is kept. */
+  /** The platform's key-value service; without it, documents come from files and nothing is stored. */
   readonly store?: StoreSettings | null;
-  /** HTTPS for callers; without it, the listener speaks plain HTTP. */
+  /** HTTPS for callers; without it, the listener accepts plain HTTP. */
   readonly tls?: KeySettings | null;
-  /** Mutual TLS towards sidecars and other entries. */
+  /** Mutual TLS with sidecars and other entries. */
   readonly peerTls?: PeerSettings | null;
-  /** Writes to the store that `Idempotency-Key`s may take in a second at this entry; 40 by default. */
+  /** Store writes per second that this entry may spend on `Idempotency-Key`s; 40 by default. */
   readonly keyWritesPerSecond?: number;
-  /** Where metrics go; without it none are sent. */
+  /** StatsD server that receives the metrics; without it none are sent. */
   readonly statsd?: { readonly host: string; readonly port: number } | null;
-  /** Bounds on callers; those not given take their default. */
+  /** Limits on callers; omitted ones take their default. */
   readonly limits?: Partial<EntryLimits>;
 }
--- a/src/entry/gate.ts
+++ b/src/entry/gate.ts
@@ -5,10 +5,10 @@
 import type { Refusal } from '../wire/index.js';
 import type { EntryLimits } from './entrylimits.js';
 
-/** When callers that were refused for this entry's sake may come back: others are free at once. */
+/** Retry-after time of refusals whose cause is this entry alone: other entries may accept the request at once. */
 const RETRY_AFTER_MS = 1000;
 
-/** Counts what is in flight, in all and for each customer, and refuses what is too much. */
+/** Limits the requests in flight at this entry, in total and per customer, and refuses the excess. */
 export class Gate {
   private total = 0;
 
@@ -20,14 +20,14 @@
 
   constructor(private readonly limits: EntryLimits) {}
 
-  /** The returned function gives the place back, once. */
+  /** Admits a request or refuses it. The returned function ends its time in flight; it has to be called exactly once. */
   enter(service: string, { id, inFlightLimit }: Customer): Result<() => void, Refusal> {
     const key = `${service}/${id}`;
-    const own = this.perCustomer.get(key) ?? 0;
-    const refusal = this.check(own, inFlightLimit ?? this.limits.inFlightPerCustomer);
+    const inFlight = this.perCustomer.get(key) ?? 0;
+    const refusal = this.check(inFlight, inFlightLimit ?? this.limits.inFlightPerCustomer);
     if (refusal) return result.Err(refusal);
     this.total += 1;
-    this.perCustomer.set(key, own + 1);
+    this.perCustomer.set(key, inFlight + 1);
     return result.Ok(() => this.leave(key));
   }
 
@@ -39,7 +39,7 @@
     return !this.leaving;
   }
 
-  /** Refuses new work from now on; resolves when nothing is in flight. */
+  /** Refuses new requests from now on; resolves when none is in flight. */
   close(): Promise<void> {
     this.leaving = true;
     if (this.total === 0) return Promise.resolve();
@@ -48,19 +48,19 @@
     });
   }
 
-  private check(own: number, ownLimit: number): Refusal | undefined {
+  private check(inFlight: number, customerLimit: number): Refusal | undefined {
     const options = { retryAfterMs: RETRY_AFTER_MS };
     if (this.leaving) return refuse('entry-leaving', 'This entry takes no new work.', options);
-    if (own >= ownLimit) {
-      return refuse('customer-limit', `This customer has ${own} requests in flight.`, options);
+    if (inFlight >= customerLimit) {
+      return refuse('customer-limit', `This customer has ${inFlight} requests in flight.`, options);
     }
     if (this.total < this.limits.inFlight) return undefined;
     return refuse('entry-full', `This entry has ${this.total} requests in flight.`, options);
   }
 
   private leave(key: string): void {
-    const own = (this.perCustomer.get(key) ?? 1) - 1;
-    if (own > 0) this.perCustomer.set(key, own);
+    const inFlight = (this.perCustomer.get(key) ?? 1) - 1;
+    if (inFlight > 0) this.perCustomer.set(key, inFlight);
     else this.perCustomer.delete(key);
     this.total -= 1;
     if (this.total === 0) this.whenIdle?.();
--- a/src/entry/handler/asked.ts
+++ b/src/entry/handler/completionrequest.ts
@@ -1,5 +1,5 @@
-/** What an entry reads of a completion request; the rest goes to the engine as it is. */
-export interface Asked {
+/** The fields of a completion request that an entry reads; the body is forwarded to the engine unchanged. */
+export interface CompletionRequest {
   readonly model: string;
   readonly stream?: boolean | null;
   readonly messages?: readonly { readonly content?: unknown }[];
--- a/src/entry/handler/deadlineof.ts
+++ b/src/entry/handler/deadlineof.ts
@@ -6,14 +6,14 @@
 const HEADER = 'tarragonstile-deadline-ms';
 const MAX_DEADLINE_MS = 3_600_000;
 
-/** The caller's own deadline, or that of the kind. */
+/** Returns the deadline that the caller sets in a header, or else that of the kind of request. */
 export function deadlineOf(
   headers: Readonly<Record<string, unknown>>,
   kindDeadlineMs: Ms,
 ): Result<Ms, Refusal> {
-  const given = headers[HEADER];
-  if (given === undefined) return result.Ok(kindDeadlineMs);
-  const deadlineMs = Number(given);
+  const value = headers[HEADER];
+  if (value === undefined) return result.Ok(kindDeadlineMs);
+  const deadlineMs = Number(value);
   if (Number.isInteger(deadlineMs) && deadlineMs > 0 && deadlineMs <= MAX_DEADLINE_MS) {
     return result.Ok(deadlineMs);
   }
--- a/src/entry/handler/findoffer.ts
+++ b/src/entry/handler/findoffer.ts
@@ -18,7 +18,7 @@
   return adapter && model && { access, model, adapter: adapter.id };
 }
 
-/** Finds what a caller named: a model or an adapter of one of its services. */
+/** Finds a model or an adapter by name in the services of a caller. */
 export function findOffer(accesses: readonly Access[], name: string): Offer | undefined {
   for (const access of accesses) {
     const offer = offerOf(access, name);
--- a/src/entry/handler/findroute.ts
+++ b/src/entry/handler/findroute.ts
@@ -1,6 +1,6 @@
 import type { Route, ServiceDocument } from '../../core/document/index.js';
 
-/** The route of a plain service with the longest prefix that matches. */
+/** Returns the route of a plain service with the longest matching path prefix. */
 export function findRoute(
   { groups }: ServiceDocument,
   method: string,
--- a/src/entry/handler/generate.ts
+++ b/src/entry/handler/generate.ts
@@ -3,33 +3,33 @@
 import { refuse } from '../../core/refusal/index.js';
 import type { Refusal } from '../../wire/index.js';
 import type { Access } from '../access.js';
-import type { Desk } from '../desk.js';
+import type { EntryContext } from '../entrycontext.js';
 import type { Caller } from './caller.js';
-import { checked } from './checked.js';
+import { checkedHandler } from './checkedhandler.js';
 import { deadlineOf } from './deadlineof.js';
 import { findOffer } from './findoffer.js';
 import { kindOf } from './kindof.js';
 import { leadingBlock } from './leadingblock.js';
-import { parseAsked } from './parseasked.js';
+import { parseCompletion } from './parsecompletion.js';
 import type { serve } from './serve.js';
 
-/** A token is about so many bytes of JSON; only a guess for queues, never for limits. */
+/** Approximate JSON bytes per token. The estimate is used for queueing only, never for limits. */
 const BYTES_PER_TOKEN = 4;
 
-type Served = Parameters<typeof serve>[2];
+type CheckedRequest = Parameters<typeof serve>[2];
 
 function check(
-  desk: Desk,
+  context: EntryContext,
   { request }: Caller,
   accesses: readonly Access[],
   body: Buffer,
-): Result<Served, Refusal> {
-  const parsed = parseAsked(body);
+): Result<CheckedRequest, Refusal> {
+  const parsed = parseCompletion(body);
   if (parsed.err) return parsed;
-  const asked = parsed.val;
-  const offer = findOffer(accesses, asked.model);
+  const completion = parsed.val;
+  const offer = findOffer(accesses, completion.model);
   if (!offer) {
-    return result.Err(refuse('model-unknown', `No service of yours offers "${asked.model}".`));
+    return result.Err(refuse('model-unknown', `No service of yours offers "${completion.model}".`));
   }
   const { access, model, adapter } = offer;
   const kind = kindOf(access.document, request.headers, model.defaultKind);
@@ -51,19 +51,19 @@
     repeatable: kind.val.repeatable,
     ticket: '',
     incarnation: 0,
-    streaming: asked.stream === true,
+    streaming: completion.stream === true,
     continuation: undefined,
-    prefixHash: desk.hashPrefix(`${adapter ?? model.id}\n${leadingBlock(asked)}`),
+    prefixHash: context.hashPrefix(`${adapter ?? model.id}\n${leadingBlock(completion)}`),
     promptTokens: Math.ceil(body.length / BYTES_PER_TOKEN),
-    maxTokens: Number(asked.max_completion_tokens ?? asked.max_tokens) || 0,
+    maxTokens: Number(completion.max_completion_tokens ?? completion.max_tokens) || 0,
   };
   const target = { service, kind: kind.val, model: model.id, adapter };
-  const deadlineAtMs = desk.clock.nowMs() + deadlineMs.val;
+  const deadlineAtMs = context.clock.nowMs() + deadlineMs.val;
   return result.Ok({ access, target, head, deadlineAtMs });
 }
 
-/** `POST /v1/chat/completions` and `/v1/completions`. */
-export const generate = checked<readonly Access[]>({
-  aim: (_caller, accesses) => result.Ok(accesses),
+/** `POST /v1/chat/completions` and `POST /v1/completions`: has an engine generate a completion. */
+export const generate = checkedHandler<readonly Access[]>({
+  resolve: (_caller, accesses) => result.Ok(accesses),
   check,
 });
--- a/src/entry/handler/handler.ts
+++ b/src/entry/handler/handler.ts
@@ -1,5 +1,5 @@
-import type { Desk } from '../desk.js';
+import type { EntryContext } from '../entrycontext.js';
 import type { Caller } from './caller.js';
 
-/** Answers one caller's request, or has it answered, and resolves when that is done. */
-export type Handler = (desk: Desk, caller: Caller) => Promise<void>;
+/** Handles one caller's request; resolves when nothing is left to do for it. */
+export type Handler = (context: EntryContext, caller: Caller) => Promise<void>;
--- a/src/entry/handler/headerof.ts
+++ b/src/entry/handler/headerof.ts
@@ -1,4 +1,4 @@
-/** A header's value if the caller sent it, and sent it once. */
+/** Returns the value of a header; undefined if the caller did not send it exactly once. */
 export function headerOf(
   headers: Readonly<Record<string, string | readonly string[] | undefined>>,
   name: string,
--- a/src/entry/handler/health.ts
+++ b/src/entry/handler/health.ts
@@ -1,7 +1,7 @@
 import type { Handler } from './handler.js';
 import { sendJson } from './sendjson.js';
 
-/** `GET /healthz`: the process is alive. */
+/** `GET /healthz`: answers as long as the process is alive. */
 export const health: Handler = (_desk, caller) => {
   sendJson(caller, 200, { alive: true });
   return Promise.resolve();
--- a/src/entry/handler/hopheaders.ts
+++ b/src/entry/handler/hopheaders.ts
@@ -1,4 +1,4 @@
-/** Headers of one connection only, and those that are meant for the entry and not for a service. */
+/** Headers that are not forwarded to a service: hop-by-hop ones, and those that address the entry. */
 export const HOP_HEADERS: ReadonlySet<string> = new Set([
   'authorization',
   'connection',
--- a/src/entry/handler/index.ts
+++ b/src/entry/handler/index.ts
@@ -1,3 +1,3 @@
-/** What callers may ask of an entry: one handler for each route. */
+/** Request handlers of an entry, one for each route. */
 export type { Caller } from './caller.js';
 export { routes } from './routes.js';
--- a/src/entry/handler/issueticket.ts
+++ b/src/entry/handler/issueticket.ts
@@ -4,7 +4,7 @@
 import { refuse } from '../../core/refusal/index.js';
 import type { Refusal, TicketReply } from '../../wire/index.js';
 import type { Access } from '../access.js';
-import type { Desk } from '../desk.js';
+import type { EntryContext } from '../entrycontext.js';
 import type { Caller } from './caller.js';
 import { findOffer } from './findoffer.js';
 import type { Handler } from './handler.js';
@@ -15,24 +15,24 @@
 
 const CREATED_STATUS = 201;
 
-/** What a ticket is for: a plain service, or a model or adapter. */
-interface Wish {
+/** Body of a ticket request, which names a plain service, a model or an adapter. */
+interface TicketBody {
   readonly service?: string;
   readonly model?: string;
   readonly validMs?: number;
 }
 
-/** A ticket's target and whose it is. */
-interface Aim {
+/** Target of a ticket, and the customer that it is issued to. */
+interface TicketTarget {
   readonly access: Access;
   readonly target: Target;
   readonly validMs: number;
 }
 
-function parse(body: Buffer): Result<Wish, Refusal> {
+function parse(body: Buffer): Result<TicketBody, Refusal> {
   try {
-    const wish = JSON.parse(body.toString()) as Wish | null;
-    if (typeof wish === 'object' && wish !== null) return result.Ok(wish);
+    const ticketBody = JSON.parse(body.toString()) as TicketBody | null;
+    if (typeof ticketBody === 'object' && ticketBody !== null) return result.Ok(ticketBody);
     return result.Err(refuse('malformed', 'The body has to be a JSON object.'));
   } catch (thrown) {
     return result.Err(refuse('malformed', `The body is not JSON: ${(thrown as Error).message}`));
@@ -44,64 +44,76 @@
   return route?.kind ?? '';
 }
 
-function plainAim(accesses: readonly Access[], wish: Wish): Result<Aim, Refusal> {
-  const access = accesses.find(({ document }) => document.service === wish.service);
+function plainTarget(
+  accesses: readonly Access[],
+  ticketBody: TicketBody,
+): Result<TicketTarget, Refusal> {
+  const access = accesses.find(({ document }) => document.service === ticketBody.service);
   if (!access) {
-    return result.Err(refuse('service-unknown', `You have no service "${wish.service ?? ''}".`));
+    return result.Err(
+      refuse('service-unknown', `You have no service "${ticketBody.service ?? ''}".`),
+    );
   }
   const kind = kindOf(access.document, {}, firstPlainKind(access));
   return kind.map((found: Kind) => ({
     access,
     target: { service: access.document.service, kind: found },
-    validMs: wish.validMs ?? 0,
+    validMs: ticketBody.validMs ?? 0,
   }));
 }
 
-function aimOf(accesses: readonly Access[], wish: Wish): Result<Aim, Refusal> {
-  if (wish.model === undefined) return plainAim(accesses, wish);
-  const offer = findOffer(accesses, wish.model);
+function targetOf(
+  accesses: readonly Access[],
+  ticketBody: TicketBody,
+): Result<TicketTarget, Refusal> {
+  if (ticketBody.model === undefined) return plainTarget(accesses, ticketBody);
+  const offer = findOffer(accesses, ticketBody.model);
   if (!offer) {
-    return result.Err(refuse('model-unknown', `No service of yours offers "${wish.model}".`));
+    return result.Err(refuse('model-unknown', `No service of yours offers "${ticketBody.model}".`));
   }
   const { access, model, adapter } = offer;
   const kind = kindOf(access.document, {}, model.defaultKind);
   return kind.map((found: Kind) => ({
     access,
     target: { service: access.document.service, kind: found, model: model.id, adapter },
-    validMs: wish.validMs ?? 0,
+    validMs: ticketBody.validMs ?? 0,
   }));
 }
 
 async function issue(
-  desk: Desk,
+  context: EntryContext,
   { requestId }: Caller,
-  { access, target, validMs }: Aim,
+  { access, target, validMs }: TicketTarget,
 ): Promise<Result<TicketReply, Refusal>> {
   const remainingMs = target.kind.deadlineMs;
-  const want = { requestId, target, prefixHash: '', remainingMs, tried: [] };
-  const choice = await desk.router.choose(want);
+  const routeRequest = { requestId, target, prefixHash: '', remainingMs, tried: [] };
+  const choice = await context.router.choose(routeRequest);
   if (choice.err) return choice;
   const customer = access.customer.id;
   const request = { customer, service: target.service, requestId, validMs };
-  const reply = await desk.tickets.issue(choice.val, request);
-  // The router counts a choice as work, which a ticket is not yet.
-  desk.router.learn({ upstream: choice.val.upstream, want, type: 'cancelled' });
+  const reply = await context.tickets.issue(choice.val, request);
+  // The router counts a choice as load on the upstream, but issuing a ticket runs nothing there.
+  context.router.recordOutcome({
+    upstream: choice.val.upstream,
+    request: routeRequest,
+    type: 'cancelled',
+  });
   if (reply.ok && reply.val.refusal) return result.Err(reply.val.refusal);
   return reply;
 }
 
-/** `POST /v1/tickets`: a ticket under which one request runs at most once. */
-export const issueTicket: Handler = async (desk, caller) => {
+/** `POST /v1/tickets`: issues a ticket under which one request runs at most once. */
+export const issueTicket: Handler = async (context, caller) => {
   const { authorization } = caller.request.headers;
-  const accesses = desk.keys.find(authorization, desk.directory.documents());
+  const accesses = context.keys.find(authorization, context.directory.documents());
   if (accesses.length === 0) {
-    refuseCaller(desk, caller, refuse('unauthenticated', 'No service knows this key.'));
+    refuseCaller(context, caller, refuse('unauthenticated', 'No service knows this key.'));
     return;
   }
-  const body = await readBody(caller.request, desk.settings.bodyBytes);
-  const aim = body.andThen(parse).andThen((wish) => aimOf(accesses, wish));
-  const ticket = aim.err ? aim : await issue(desk, caller, aim.val);
-  if (ticket.err) refuseCaller(desk, caller, ticket.val);
+  const body = await readBody(caller.request, context.settings.bodyBytes);
+  const ticketTarget = body.andThen(parse).andThen((ticketBody) => targetOf(accesses, ticketBody));
+  const ticket = ticketTarget.err ? ticketTarget : await issue(context, caller, ticketTarget.val);
+  if (ticket.err) refuseCaller(context, caller, ticket.val);
   else {
     const { validMs } = ticket.val;
     sendJson(caller, CREATED_STATUS, { ticket: ticket.val.ticket, validMs });
--- a/src/entry/handler/kindof.ts
+++ b/src/entry/handler/kindof.ts
@@ -6,7 +6,7 @@
 
 const HEADER = 'tarragonstile-kind';
 
-/** The kind that the caller names, or else the given one. */
+/** Returns the kind of request that the caller names in a header, or else the given default. */
 export function kindOf(
   document: ServiceDocument,
   headers: Readonly<Record<string, unknown>>,
--- a/src/entry/handler/leadingblock.ts
+++ b/src/entry/handler/leadingblock.ts
@@ -1,6 +1,6 @@
-import type { Asked } from './asked.js';
+import type { CompletionRequest } from './completionrequest.js';
 
-/** Longest part of a prompt that is hashed: what follows rarely is shared between requests. */
+/** Maximum length of the hashed part of a prompt; what follows is rarely shared between requests. */
 const BLOCK_LENGTH = 1024;
 
 function textOf(part: unknown): string {
@@ -8,8 +8,8 @@
   return part === undefined ? '' : JSON.stringify(part);
 }
 
-/** The start of a prompt that other requests are likely to share: its first message, as a rule. */
-export function leadingBlock({ messages, prompt }: Asked): string {
+/** Returns the start of a prompt that other requests are likely to share: the first message, if there are messages. */
+export function leadingBlock({ messages, prompt }: CompletionRequest): string {
   const first = Array.isArray(messages) ? textOf(messages[0]?.content) : textOf(prompt);
   return first.slice(0, BLOCK_LENGTH);
 }
--- a/src/entry/handler/listmodels.ts
+++ b/src/entry/handler/listmodels.ts
@@ -4,7 +4,7 @@
 import { refuseCaller } from './refusecaller.js';
 import { sendJson } from './sendjson.js';
 
-function offersOf({ document }: Access): object[] {
+function modelObjectsOf({ document }: Access): object[] {
   const { service, models, adapters = [] } = document;
   const own = models.map(({ id }) => ({ id, object: 'model', created: 0, owned_by: service }));
   const adapted = adapters.map(({ id, model }) => ({
@@ -17,14 +17,14 @@
   return [...own, ...adapted];
 }
 
-/** `GET /v1/models`: the models and adapters of the caller's services. */
-export const listModels: Handler = (desk, caller) => {
+/** `GET /v1/models`: lists the models and adapters of the caller's services. */
+export const listModels: Handler = (context, caller) => {
   const { authorization } = caller.request.headers;
-  const accesses = desk.keys.find(authorization, desk.directory.documents());
+  const accesses = context.keys.find(authorization, context.directory.documents());
   if (accesses.length === 0) {
-    refuseCaller(desk, caller, refuse('unauthenticated', 'No service knows this key.'));
+    refuseCaller(context, caller, refuse('unauthenticated', 'No service knows this key.'));
   } else {
-    sendJson(caller, 200, { object: 'list', data: accesses.flatMap(offersOf) });
+    sendJson(caller, 200, { object: 'list', data: accesses.flatMap(modelObjectsOf) });
   }
   return Promise.resolve();
 };
--- a/src/entry/handler/parseasked.ts
+++ b/src/entry/handler/parsecompletion.ts
@@ -2,14 +2,14 @@
 import { result } from '../../base/index.js';
 import { refuse } from '../../core/refusal/index.js';
 import type { Refusal } from '../../wire/index.js';
-import type { Asked } from './asked.js';
+import type { CompletionRequest } from './completionrequest.js';
 
-function malformed(detail: string): Result<Asked, Refusal> {
+function malformed(detail: string): Result<CompletionRequest, Refusal> {
   return result.Err(refuse('malformed', detail));
 }
 
-/** Parses the body of a completion request as far as an entry has to understand it. */
-export function parseAsked(body: Buffer): Result<Asked, Refusal> {
+/** Parses the fields of a completion request that the entry uses. */
+export function parseCompletion(body: Buffer): Result<CompletionRequest, Refusal> {
   let parsed: unknown;
   try {
     parsed = JSON.parse(body.toString());
@@ -24,5 +24,5 @@
   if (stream !== undefined && stream !== null && typeof stream !== 'boolean') {
     return malformed('"stream" has to be true or false.');
   }
-  return result.Ok(parsed as Asked);
+  return result.Ok(parsed as CompletionRequest);
 }
--- a/src/entry/handler/passthrough.ts
+++ b/src/entry/handler/passthrough.ts
@@ -4,35 +4,35 @@
 import { refuse } from '../../core/refusal/index.js';
 import type { Header, Refusal } from '../../wire/index.js';
 import type { Access } from '../access.js';
-import type { Desk } from '../desk.js';
+import type { EntryContext } from '../entrycontext.js';
 import type { Caller } from './caller.js';
-import { checked } from './checked.js';
+import { checkedHandler } from './checkedhandler.js';
 import { deadlineOf } from './deadlineof.js';
 import { findRoute } from './findroute.js';
 import { HOP_HEADERS } from './hopheaders.js';
 import { kindOf } from './kindof.js';
 import type { serve } from './serve.js';
 
-type Served = Parameters<typeof serve>[2];
+type CheckedRequest = Parameters<typeof serve>[2];
 
-/** `/services/{service}/{path}`; the query stays with the path. */
+/** `/services/{service}/{path}`, with an optional query that is forwarded along with the path. */
 const PATH = /^\/services\/([^/?]+)(\/[^?]*)?(\?.*)?$/;
 
-/** Where a plain request goes. */
-interface Aim {
+/** Destination of a request to a plain service. */
+interface Destination {
   readonly access: Access;
   readonly path: string;
   readonly query: string;
 }
 
-function passedHeaders(headers: IncomingHttpHeaders): Header[] {
-  const named = new Set((headers.connection ?? '').toLowerCase().split(/\s*,\s*/));
+function forwardedHeaders(headers: IncomingHttpHeaders): Header[] {
+  const hopByHop = new Set((headers.connection ?? '').toLowerCase().split(/\s*,\s*/));
   return Object.entries(headers)
-    .filter(([name]) => !HOP_HEADERS.has(name) && !named.has(name))
-    .flatMap(([name, value = '']) => [value].flat().map((one) => ({ name, value: one })));
+    .filter(([name]) => !HOP_HEADERS.has(name) && !hopByHop.has(name))
+    .flatMap(([name, value = '']) => [value].flat().map((single) => ({ name, value: single })));
 }
 
-function aimOf(accesses: readonly Access[], url: string): Result<Aim, Refusal> {
+function destinationOf(accesses: readonly Access[], url: string): Result<Destination, Refusal> {
   const [, service = '', path = '/', query = ''] = PATH.exec(url) ?? [];
   const access = accesses.find(({ document }) => document.service === service);
   if (access) return result.Ok({ access, path, query });
@@ -40,15 +40,15 @@
 }
 
 function check(
-  desk: Desk,
+  context: EntryContext,
   { request }: Caller,
-  { access, path, query }: Aim,
+  { access, path, query }: Destination,
   body: Buffer,
-): Result<Served, Refusal> {
+): Result<CheckedRequest, Refusal> {
   const method = request.method ?? 'GET';
   const route = findRoute(access.document, method, path);
   if (!route) return result.Err(refuse('route-unknown', `No route takes ${method} ${path}.`));
-  // The route alone says what may be repeated, so the caller cannot name another kind.
+  // Only the route decides whether a request may be repeated, so the caller cannot choose another kind.
   const kind = kindOf(access.document, {}, route.kind);
   if (kind.err) return kind;
   const deadlineMs = deadlineOf(request.headers, kind.val.deadlineMs);
@@ -62,7 +62,7 @@
     adapter: '',
     method,
     path: path + query,
-    headers: passedHeaders(request.headers),
+    headers: forwardedHeaders(request.headers),
     body,
     deadlineMs: deadlineMs.val,
     repeatable: kind.val.repeatable,
@@ -74,12 +74,12 @@
     promptTokens: 0,
     maxTokens: 0,
   };
-  const deadlineAtMs = desk.clock.nowMs() + deadlineMs.val;
+  const deadlineAtMs = context.clock.nowMs() + deadlineMs.val;
   return result.Ok({ access, target: { service, kind: kind.val }, head, deadlineAtMs });
 }
 
-/** Any method of `/services/{service}/{path}`: goes to a plain service as it is. */
-export const passThrough = checked<Aim>({
-  aim: ({ request }, accesses) => aimOf(accesses, request.url ?? ''),
+/** Any method of `/services/{service}/{path}`: forwards the request to a plain service unchanged. */
+export const passThrough = checkedHandler<Destination>({
+  resolve: ({ request }, accesses) => destinationOf(accesses, request.url ?? ''),
   check,
 });
--- a/src/entry/handler/readbody.ts
+++ b/src/entry/handler/readbody.ts
@@ -8,7 +8,7 @@
   return result.Err(refuse('body-too-large', `The body is larger than ${limitBytes} bytes.`));
 }
 
-/** Reads a whole body, unless it is larger than the limit. */
+/** Reads a request body; refuses it if it is larger than the limit. */
 export function readBody(
   request: IncomingMessage,
   limitBytes: number,
--- a/src/entry/handler/routes.ts
+++ b/src/entry/handler/routes.ts
@@ -5,26 +5,26 @@
 import { issueTicket } from './issueticket.js';
 import { listModels } from './listmodels.js';
 import { notFound } from './notfound.js';
-import { onceCaughtUp } from './oncecaughtup.js';
+import { requireCaughtUp } from './requirecaughtup.js';
 import { passThrough } from './passthrough.js';
 import { readiness } from './readiness.js';
 import { status } from './status.js';
 
-/** One path of an entry. */
+/** One route of an entry. */
 interface PathRoute {
-  /** Empty for any method. */
+  /** HTTP method; empty for any. */
   readonly method: '' | 'GET' | 'POST';
   readonly path: string;
   readonly handler: Handler;
 }
 
-/** Every path that an entry answers; the first match wins. */
+/** All routes of an entry; the first match wins. */
 export const routes: readonly PathRoute[] = [
-  { method: 'POST', path: '/v1/chat/completions', handler: onceCaughtUp(generate) },
-  { method: 'POST', path: '/v1/completions', handler: onceCaughtUp(generate) },
-  { method: 'GET', path: '/v1/models', handler: onceCaughtUp(listModels) },
-  { method: 'POST', path: '/v1/tickets', handler: onceCaughtUp(issueTicket) },
-  { method: '', path: '/services/**', handler: onceCaughtUp(passThrough) },
+  { method: 'POST', path: '/v1/chat/completions', handler: requireCaughtUp(generate) },
+  { method: 'POST', path: '/v1/completions', handler: requireCaughtUp(generate) },
+  { method: 'GET', path: '/v1/models', handler: requireCaughtUp(listModels) },
+  { method: 'POST', path: '/v1/tickets', handler: requireCaughtUp(issueTicket) },
+  { method: '', path: '/services/**', handler: requireCaughtUp(passThrough) },
   { method: 'GET', path: '/healthz', handler: health },
   { method: 'GET', path: '/readyz', handler: readiness },
   { method: 'GET', path: '/statusz', handler: status },
--- a/src/entry/handler/status.ts
+++ b/src/entry/handler/status.ts
@@ -2,15 +2,15 @@
 import type { Handler } from './handler.js';
 import { sendJson } from './sendjson.js';
 
-const UPSTREAMS = 'upstream/';
+const UPSTREAM_PREFIX = 'upstream/';
 
 /**
- * `GET /statusz`: the configuration that this entry has in force, and what it knows of its region's
- * upstreams, for operators.
+ * `GET /statusz`: shows operators the configuration in force at this entry and the upstreams of its region as it knows
+ * them.
  */
 export const status: Handler = ({ board, settings }, caller) => {
   const { hostId, region, availabilityZone } = settings;
-  const upstreams = board.list(UPSTREAMS).map(({ value }) => {
+  const upstreams = board.list(UPSTREAM_PREFIX).map(({ value }) => {
     const { service, upstream, incarnation, phase, revision } = UpstreamRecord.decode(value);
     return { service, upstream, incarnation, phase, revision };
   });
--- a/src/entry/keyindex.ts
+++ b/src/entry/keyindex.ts
@@ -16,13 +16,13 @@
   return index;
 }
 
-/** Finds customers by the hash of their bearer key. Built anew when the documents change. */
+/** Index of customers by the hash of their bearer key. Rebuilt when the documents change. */
 export class KeyIndex {
   private documents: readonly ServiceDocument[] = [];
 
   private index = new Map<string, Access[]>();
 
-  /** Every service that the key of an `Authorization` header opens. */
+  /** Returns every service and customer that the key of an `Authorization` header belongs to. */
   find(
     authorization: string | undefined,
     documents: readonly ServiceDocument[],
--- a/src/entry/link/link.ts
+++ b/src/entry/link/link.ts
@@ -1,17 +1,18 @@
 import type { RequestHead, WorkClient } from '../../wire/index.js';
-import type { Asked } from './asked.js';
-import type { Receiver } from './receiver.js';
+import type { SentAttempt } from './sentattempt.js';
+import type { FrameReceiver } from './framereceiver.js';
 
-/** The ways to sidecars, made when first needed. */
+/** Connections to sidecars, each opened on first use. */
 export interface Link {
+  /** Sends one attempt of a request; what comes back goes to the receiver. */
   ask(
     sidecarAddress: string,
     requestId: string,
     attempt: number,
     head: RequestHead,
-    receiver: Receiver,
-  ): Asked;
-  /** The client of a sidecar, for calls other than requests. */
+    receiver: FrameReceiver,
+  ): SentAttempt;
+  /** Returns the gRPC client of a sidecar, for calls other than requests. */
   client(sidecarAddress: string): WorkClient;
   close(): void;
 }
--- a/src/entry/link/linkoptions.ts
+++ b/src/entry/link/linkoptions.ts
@@ -1,15 +1,15 @@
 import type { ChannelCredentials } from '@grpc/grpc-js';
 import type { Clock } from '../../base/index.js';
 
-/** Options of the hop to the sidecars. */
+/** Options of the connections to sidecars. */
 export interface LinkOptions {
   readonly clock: Clock;
-  /** How sidecars are met; unauthenticated by default. */
+  /** Credentials for connections to sidecars; unauthenticated by default. */
   readonly credentials?: ChannelCredentials;
-  /** Configuration revision in force here of what concerns the sidecar at this address. */
+  /** Returns the revision in force here of the configuration that concerns the sidecar at this address. */
   readonly revision: (sidecarAddress: string) => number;
-  /** Told when the revision in force at a sidecar has changed. */
+  /** Called when a sidecar reports another revision in force than before. */
   readonly sawRevision: (revision: number, fromAddress: string) => void;
-  /** A sidecar that has nothing to do for so long is let go of. Defaults to a minute. */
+  /** The connection to a sidecar without requests is closed after this time; one minute by default. */
   readonly idleMs?: number;
 }
--- a/src/entry/link/peer.ts
+++ b/src/entry/link/sidecarstream.ts
@@ -1,34 +1,34 @@
 import type { ClientDuplexStream } from '@grpc/grpc-js';
 import { Batcher } from '../../shell/rpc/index.js';
 import type { Frame, FrameBatch, RequestHead } from '../../wire/index.js';
-import type { Asked } from './asked.js';
+import type { SentAttempt } from './sentattempt.js';
 import type { LinkOptions } from './linkoptions.js';
-import type { Receiver } from './receiver.js';
+import type { FrameReceiver } from './framereceiver.js';
 
-/** A sidecar that has not opened its side within this is taken for lost. */
-const OPEN_WITHIN_MS = 1000;
+/** A sidecar that has not opened its side of the stream within this time counts as lost. */
+const OPEN_TIMEOUT_MS = 1000;
 
 type Phase = 'opening' | 'open' | 'leaving' | 'closed';
 
-interface Waiting {
+interface Pending {
   readonly attempt: number;
-  readonly receiver: Receiver;
+  readonly receiver: FrameReceiver;
 }
 
-/** One sidecar's stream. It lives until the sidecar leaves, is lost, or has long had nothing to do. */
-export class Peer {
+/** The stream to one sidecar. It ends when the sidecar drains or is lost, or after a long time without requests. */
+export class SidecarStream {
   private phase: Phase = 'opening';
 
   private readonly batcher: Batcher;
 
-  /** Heads that wait for the stream to stand; those have certainly not left. */
+  /** Heads of requests that wait for the stream to open; these have certainly not been sent. */
   private held: Frame[] = [];
 
-  private readonly waiting = new Map<string, Waiting>();
+  private readonly waiting = new Map<string, Pending>();
 
-  private usedAtMs: number;
+  private lastUsedAtMs: number;
 
-  private readonly forgetOpening: () => void;
+  private readonly cancelOpenTimeout: () => void;
 
   private revision = 0;
 
@@ -37,25 +37,25 @@
     private readonly stream: ClientDuplexStream<FrameBatch, FrameBatch>,
     private readonly options: LinkOptions,
   ) {
-    this.usedAtMs = options.clock.nowMs();
+    this.lastUsedAtMs = options.clock.nowMs();
     this.batcher = new Batcher(stream, { revision: () => options.revision(address) });
-    this.forgetOpening = options.clock.after(OPEN_WITHIN_MS, () => this.close());
+    this.cancelOpenTimeout = options.clock.after(OPEN_TIMEOUT_MS, () => this.close());
     stream.on('metadata', () => this.open());
     stream.on('data', (batch: FrameBatch) => this.take(batch));
-    stream.on('error', (error: Error) => this.lose(error.message));
-    stream.on('end', () => this.lose('The sidecar ended the stream.'));
+    stream.on('error', (error: Error) => this.fail(error.message));
+    stream.on('end', () => this.fail('The sidecar ended the stream.'));
   }
 
-  /** False once requests have to go by another stream. */
-  usable(): boolean {
+  /** False once new requests require another stream. */
+  isUsable(): boolean {
     return this.phase === 'opening' || this.phase === 'open';
   }
 
   idleSinceMs(): number {
-    return this.waiting.size > 0 ? this.options.clock.nowMs() : this.usedAtMs;
+    return this.waiting.size > 0 ? this.options.clock.nowMs() : this.lastUsedAtMs;
   }
 
-  ask(requestId: string, attempt: number, head: RequestHead, receiver: Receiver): Asked {
+  ask(requestId: string, attempt: number, head: RequestHead, receiver: FrameReceiver): SentAttempt {
     const waiting = { attempt, receiver };
     this.waiting.set(requestId, waiting);
     const frame: Frame = { requestId, attempt, sequence: 0, body: { $case: 'head', value: head } };
@@ -71,25 +71,25 @@
       grant: (dataCount) => send({ $case: 'credit', value: { dataCount } }),
       cancel: (reason) => {
         send({ $case: 'cancel', value: { reason } });
-        this.forget(requestId, waiting);
+        this.remove(requestId, waiting);
       },
-      done: () => this.forget(requestId, waiting),
+      done: () => this.remove(requestId, waiting),
     };
   }
 
-  /** Ends the stream once nothing is left on it. */
-  leave(): void {
+  /** Ends the stream once its pending requests are complete. */
+  drain(): void {
     if (this.phase === 'closed') return;
     this.phase = 'leaving';
     if (this.waiting.size > 0) return;
-    this.forgetOpening();
+    this.cancelOpenTimeout();
     this.phase = 'closed';
     this.batcher.flush();
     this.stream.end();
   }
 
   close(): void {
-    this.lose(
+    this.fail(
       this.phase === 'opening'
         ? 'The sidecar did not open the stream in time.'
         : 'The entry closed the stream.',
@@ -100,7 +100,7 @@
   private open(): void {
     if (this.phase !== 'opening') return;
     this.phase = 'open';
-    this.forgetOpening();
+    this.cancelOpenTimeout();
     for (const frame of this.held) this.batcher.push(frame);
     this.held = [];
   }
@@ -112,21 +112,21 @@
       this.options.sawRevision(revision, this.address);
     }
     for (const frame of frames) this.waiting.get(frame.requestId)?.receiver.take(frame);
-    if (leaving) this.leave();
+    if (leaving) this.drain();
   }
 
-  private forget(requestId: string, waiting: Waiting): void {
+  private remove(requestId: string, waiting: Pending): void {
     if (this.waiting.get(requestId) !== waiting) return;
     this.waiting.delete(requestId);
     this.held = this.held.filter((frame) => frame.requestId !== requestId);
-    this.usedAtMs = this.options.clock.nowMs();
-    if (this.phase === 'leaving') this.leave();
+    this.lastUsedAtMs = this.options.clock.nowMs();
+    if (this.phase === 'leaving') this.drain();
   }
 
-  private lose(detail: string): void {
+  private fail(detail: string): void {
     if (this.phase === 'closed') return;
     const unsent = this.phase === 'opening';
-    this.forgetOpening();
+    this.cancelOpenTimeout();
     this.phase = 'closed';
     const lost = [...this.waiting.values()];
     this.waiting.clear();
--- a/src/entry/listener.ts
+++ b/src/entry/listener.ts
@@ -13,25 +13,25 @@
 
 const RETRY_AFTER_MS = 1000;
 
-/** What Node reports of a request that it could not read, and what the caller is told. */
-const UNREADABLE: Readonly<Record<string, string>> = {
+/** Refusal type by the code of Node's error for a request that cannot be parsed; `malformed` for other codes. */
+const REFUSAL_TYPES: Readonly<Record<string, string>> = {
   HPE_HEADER_OVERFLOW: 'headers-too-large',
   ERR_HTTP_REQUEST_TIMEOUT: 'request-timeout',
 };
 
-type Listen = (request: IncomingMessage, response: ServerResponse) => void;
+type RequestListener = (request: IncomingMessage, response: ServerResponse) => void;
 
-function refuseUnreadable(error: NodeJS.ErrnoException, socket: Socket): void {
+function refuseUnparsable(error: NodeJS.ErrnoException, socket: Socket): void {
   if (!socket.writable) return;
-  const type = UNREADABLE[error.code ?? ''] ?? 'malformed';
+  const type = REFUSAL_TYPES[error.code ?? ''] ?? 'malformed';
   const { status, headers, body } = problem(refuse(type, error.message), nanoid());
   const lines = Object.entries({ ...headers, connection: 'close', 'content-length': body.length });
   const head = lines.map(([name, value]) => `${name}: ${value}\r\n`).join('');
   socket.end(`HTTP/1.1 ${status} \r\n${head}\r\n${body}`);
 }
 
-/** Refuses the requests of connections past the limit. */
-function refusePast(connections: Connections, listen: Listen): Listen {
+/** Wraps a listener so that it refuses requests on connections past the limit. */
+function refuseOverLimit(connections: Connections, listen: RequestListener): RequestListener {
   return (request, response) => {
     if (connections.isAdmitted(request.socket)) {
       listen(request, response);
@@ -44,13 +44,13 @@
   };
 }
 
-/** A server and the connections that it has. */
+/** An HTTP server and its caller connections. */
 interface Listener {
   readonly server: Server;
   readonly connections: Connections;
 }
 
-/** The HTTP server of an entry, with its limits. */
+/** Creates the HTTP server of an entry, with its limits. */
 export function createListener(
   app: H3,
   limits: EntryLimits,
@@ -63,8 +63,8 @@
     headersTimeout: limits.requestTimeoutMs,
   });
   const connections = new Connections(server, limits.connections);
-  const listen = toNodeHandler(app) as unknown as Listen;
-  server.on('request', refusePast(connections, listen));
-  server.on('clientError', refuseUnreadable);
+  const listen = toNodeHandler(app) as unknown as RequestListener;
+  server.on('request', refuseOverLimit(connections, listen));
+  server.on('clientError', refuseUnparsable);
   return { server, connections };
 }
--- a/src/entry/openmesh.ts
+++ b/src/entry/openmesh.ts
@@ -1,10 +1,10 @@
 import { FailureError } from '../base/index.js';
 import { serveMesh } from '../shell/mesh/index.js';
-import type { Desk } from './desk.js';
+import type { EntryContext } from './entrycontext.js';
 
-/** Starts an entry's exchange of records, with a listener of its own where one is set up. */
+/** Starts the exchange of board records with peers; opens a listener for them if one is configured. */
 export async function openMesh(
-  { board, credentials }: Pick<Desk, 'board' | 'credentials'>,
+  { board, credentials }: Pick<EntryContext, 'board' | 'credentials'>,
   listen: string | null | undefined,
 ): Promise<{ close(): void }> {
   if (!listen) {
--- a/src/entry/planner/cellof.ts
+++ b/src/entry/planner/cellof.ts
@@ -10,8 +10,11 @@
 
 const LEAVING = 'leaving';
 
-/** An upstream in doubt counts as lost: its models get a place elsewhere, and it keeps what it holds. */
-const STATES: Readonly<Record<MemberPhase, CellUpstream['state']>> = {
+/**
+ * Planning state by membership phase. A suspect upstream counts as lost: its models get replicas elsewhere, while it keeps
+ * those that it has loaded.
+ */
+const CELL_STATES: Readonly<Record<MemberPhase, CellUpstream['state']>> = {
   joining: 'usable',
   ready: 'usable',
   suspect: 'lost',
@@ -21,7 +24,7 @@
 
 function stateOf(record: UpstreamRecord | undefined, phase: MemberPhase): CellUpstream['state'] {
   if (!record || record.phase === 'gone') return 'lost';
-  return record.phase === LEAVING ? LEAVING : STATES[phase];
+  return record.phase === LEAVING ? LEAVING : CELL_STATES[phase];
 }
 
 function modelsOf({ models, adapters, kinds }: ServiceDocument): CellModel[] {
@@ -75,7 +78,7 @@
   );
 }
 
-/** A service's region as its planner sees it: the document, the sidecars' records, membership. */
+/** Returns the planner's view of a service in a region, from the document, the sidecars' records and membership. */
 export function cellOf(document: ServiceDocument, records: Records, phases: Phases): Cell {
   return {
     models: modelsOf(document),
--- a/src/entry/planner/explain.ts
+++ b/src/entry/planner/explain.ts
@@ -2,10 +2,10 @@
 import type { ServiceDocument } from '../../core/document/index.js';
 import type { Explanation } from '../../shell/entries/index.js';
 import { UpstreamRecord } from '../../wire/index.js';
-import type { Context, Router } from '../part/index.js';
+import type { Context, Router } from '../component/index.js';
 import type { Planner } from './planner.js';
 
-const UPSTREAMS = 'upstream/';
+const UPSTREAM_PREFIX = 'upstream/';
 
 type Sources = Pick<Context, 'board' | 'settings'> & {
   readonly router: Router;
@@ -19,7 +19,7 @@
 ): Explanation['residents'] {
   const phases = router.phases(service);
   const records = board
-    .list(`${UPSTREAMS}${service}/`)
+    .list(`${UPSTREAM_PREFIX}${service}/`)
     .map(({ value }) => UpstreamRecord.decode(value));
   return records.flatMap(({ upstream, availabilityZone, residents }) =>
     residents
@@ -42,10 +42,10 @@
   const plans = states.flatMap(({ plan }) => plan ?? []);
   const places = plans.flatMap(({ placed, waiting }) => [...placed, ...waiting]);
   const known = states.flatMap(({ demand }) => demand.models.get(model) ?? []);
-  const level = known.map(({ rate }) => (rate as { readonly level?: number }).level ?? 0);
+  const levels = known.map(({ rate }) => (rate as { readonly level?: number }).level ?? 0);
   return {
     epoch,
-    forecastPerSecond: level.reduce((sum, each) => sum + each, 0),
+    forecastPerSecond: levels.reduce((sum, each) => sum + each, 0),
     serviceTimeMs: known[0]?.serviceTimeMs ?? 0,
     places: places
       .filter((place) => place.model === model)
@@ -54,7 +54,7 @@
   };
 }
 
-/** Tells why a model is where it is; one explanation for each service that offers it. */
+/** Explains why a model is at its upstreams; one explanation for each service that offers it. */
 export function explain(
   sources: Sources,
   documents: readonly ServiceDocument[],
--- a/src/entry/planner/planner.ts
+++ b/src/entry/planner/planner.ts
@@ -1,12 +1,12 @@
 import type { ServiceId } from '../../base/index.js';
 import type { BoardStatus } from '../../shell/board/index.js';
-import type { Context, Directory, Router } from '../part/index.js';
+import type { Context, Directory, Router } from '../component/index.js';
 import { ServicePlanner } from './serviceplanner.js';
 
-/** Between rounds: a load takes a few seconds, so more often would see nothing new. */
+/** Interval of planning rounds. Loading a model takes a few seconds, so shorter rounds would see no change. */
 const ROUND_MS = 2_000;
 
-/** The planners of all services that this entry has documents of. */
+/** Plans all services that this entry has documents of. */
 export class Planner {
   private readonly services = new Map<ServiceId, ServicePlanner>();
 
@@ -20,7 +20,7 @@
   ) {}
 
   start(): void {
-    this.round();
+    this.runRound();
   }
 
   stop(): void {
@@ -28,27 +28,27 @@
     for (const service of this.services.values()) service.stop();
   }
 
-  /** The planner of a service, if this entry holds its lease. */
+  /** Returns the state of the last plans of a service; undefined if this entry does not plan it. */
   explain(service: ServiceId): ReturnType<ServicePlanner['explain']> {
     return this.services.get(service)?.explain();
   }
 
-  /** Relays may plan: they watch the store already, and there are two in a region. */
+  /** True if this entry may plan. Relays may: they watch the store anyway, and a region has two of them. */
   private mayPlan(): boolean {
     const { relay, entryCount } = this.boardStatus();
     return relay || entryCount === 0;
   }
 
-  private round(): void {
-    const candidate = this.mayPlan() && this.directory.caughtUp();
+  private runRound(): void {
+    const isCandidate = this.mayPlan() && this.directory.caughtUp();
     for (const document of this.directory.documents()) {
-      // A plain service has nothing to place.
+      // A plain service has no models to place.
       if (document.models.length === 0) continue;
       const known = this.services.get(document.service);
       const planner = known ?? new ServicePlanner(this.context, this.router, document);
       this.services.set(document.service, planner);
-      planner.round(document, candidate);
+      planner.round(document, isCandidate);
     }
-    this.cancel = this.context.clock.after(ROUND_MS, () => this.round());
+    this.cancel = this.context.clock.after(ROUND_MS, () => this.runRound());
   }
 }
--- a/src/entry/planner/leasekeeper.ts
+++ b/src/entry/planner/plannerlease.ts
@@ -7,25 +7,25 @@
   type LeaseEvent,
   type LeaseState,
 } from '../../core/planlease/index.js';
-import type { Context } from '../part/index.js';
+import type { Context } from '../component/index.js';
 
 const ABSENT = 0 as Revision;
 
-interface Held {
+interface LeaseValue {
   readonly nonce?: string;
   readonly hostId?: string;
 }
 
 function nonceOf(value: string): string | undefined {
   try {
-    return (JSON.parse(value) as Held).nonce;
+    return (JSON.parse(value) as LeaseValue).nonce;
   } catch {
     return undefined;
   }
 }
 
-/** Carries the lease core's wishes to the store and the answers back. */
-export class LeaseKeeper {
+/** Holds the planner lease of one service: performs the lease core's effects at the store and reports the answers. */
+export class PlannerLease {
   private state: LeaseState;
 
   constructor(
@@ -35,7 +35,7 @@
     this.state = createLease(key, nanoid());
   }
 
-  /** The epoch to plan under; undefined while another entry plans, or nobody. */
+  /** Returns the epoch to plan under; undefined unless this entry holds the lease. */
   epoch(): Epoch | undefined {
     return this.state.phase === 'holding' ? this.state.epoch : undefined;
   }
@@ -43,12 +43,12 @@
   step(event: LeaseEvent): void {
     const { state, effects } = stepLease(this.state, event, this.context.clock.nowMs());
     this.state = state;
-    for (const effect of effects) void this.carryOut(effect);
+    for (const effect of effects) void this.perform(effect);
   }
 
-  private async carryOut(effect: LeaseEffect): Promise<void> {
-    const carry = this.handlers[effect.type] as (effect: LeaseEffect) => Promise<void>;
-    await carry(effect);
+  private async perform(effect: LeaseEffect): Promise<void> {
+    const handler = this.handlers[effect.type] as (effect: LeaseEffect) => Promise<void>;
+    await handler(effect);
   }
 
   private readonly handlers: {
@@ -92,12 +92,19 @@
       await this.context.store.revokeLease(leaseId);
     },
     took: ({ epoch }) => {
-      this.context.log.info('planning begins', { key: this.state.key, epoch });
+      this.context.log.info('planner lease acquired; this entry plans the service', {
+        key: this.state.key,
+        epoch,
+      });
       this.context.metrics.count('planner.took');
       return Promise.resolve();
     },
     lost: ({ epoch, reason }) => {
-      this.context.log.info('planning ends', { key: this.state.key, epoch, reason });
+      this.context.log.info('planner lease lost; this entry stopped planning the service', {
+        key: this.state.key,
+        epoch,
+        reason,
+      });
       return Promise.resolve();
     },
   };
--- a/src/entry/planner/sendplan.ts
+++ b/src/entry/planner/sendplan.ts
@@ -1,10 +1,10 @@
 import { Metadata } from '@grpc/grpc-js';
 import type { PlacementPlan, PlacementReply } from '../../wire/index.js';
-import type { Context } from '../part/index.js';
+import type { Context } from '../component/index.js';
 
 const TIMEOUT_MS = 1_500;
 
-/** Sends an upstream's part of a plan; undefined if its sidecar gave no answer. */
+/** Sends an upstream its part of a plan. Resolves with undefined if the sidecar did not answer. */
 export function sendPlan(
   { link, clock }: Pick<Context, 'link' | 'clock'>,
   sidecarAddress: string,
--- a/src/entry/planner/serviceplanner.ts
+++ b/src/entry/planner/serviceplanner.ts
@@ -7,26 +7,26 @@
   type PlannerState,
 } from '../../core/planner/index.js';
 import { PlacementPlan, UpstreamRecord } from '../../wire/index.js';
-import type { Context, Router } from '../part/index.js';
+import type { Context, Router } from '../component/index.js';
 import { cellOf } from './cellof.js';
-import { cutCell } from './cutcell.js';
-import { LeaseKeeper } from './leasekeeper.js';
+import { splitCell } from './splitcell.js';
+import { PlannerLease } from './plannerlease.js';
 import { sendPlan } from './sendplan.js';
 
 type Place = Extract<PlannerEffect, { type: 'place' }>;
 
-const UPSTREAMS = 'upstream/';
-const PLANNERS = '/tarragonstile/planners/';
+const UPSTREAM_PREFIX = 'upstream/';
+const LEASE_PREFIX = '/tarragonstile/planners/';
 
-/** Plans one service of this region, while this entry holds its lease. */
+/** Plans the placement of one service in this region, while this entry holds the planner lease. */
 export class ServicePlanner {
-  private readonly lease: LeaseKeeper;
+  private readonly lease: PlannerLease;
 
   private states: PlannerState[] = [];
 
   private sequence = 0;
 
-  /** Plans that did not arrive, by upstream: sent again in the next round. */
+  /** Plans that were not delivered, by upstream; they are sent again in the next round. */
   private readonly missed = new Map<UpstreamId, Place>();
 
   constructor(
@@ -34,12 +34,12 @@
     private readonly router: Router,
     document: ServiceDocument,
   ) {
-    this.lease = new LeaseKeeper(context, `${PLANNERS}${document.service}/${document.region}`);
+    this.lease = new PlannerLease(context, `${LEASE_PREFIX}${document.service}/${document.region}`);
   }
 
-  /** Looks after the lease; plans if it is held. */
-  round(document: ServiceDocument, candidate: boolean): void {
-    this.lease.step({ type: 'tick', candidate });
+  /** Advances the planner lease; plans if this entry holds it. */
+  round(document: ServiceDocument, isCandidate: boolean): void {
+    this.lease.step({ type: 'tick', candidate: isCandidate });
     const epoch = this.lease.epoch();
     if (epoch === undefined) this.states = [];
     else this.plan(document, epoch);
@@ -49,7 +49,7 @@
     this.lease.step({ type: 'stopped' });
   }
 
-  /** What `explain` tells of the last plans; undefined while another entry plans. */
+  /** Returns the epoch and the state of the last plans; undefined if this entry does not plan. */
   explain(): { readonly epoch: Epoch; readonly states: readonly PlannerState[] } | undefined {
     const epoch = this.lease.epoch();
     return epoch === undefined ? undefined : { epoch, states: this.states };
@@ -57,11 +57,11 @@
 
   private plan(document: ServiceDocument, epoch: Epoch): void {
     const { board, clock } = this.context;
-    const prefix = `${UPSTREAMS}${document.service}/`;
+    const prefix = `${UPSTREAM_PREFIX}${document.service}/`;
     const records = board.list(prefix).map(({ value }) => UpstreamRecord.decode(value));
     const byId = new Map(records.map((record) => [record.upstream, record]));
-    const whole = cellOf(document, byId, this.router.phases(document.service));
-    const cells = cutCell(whole, this.states);
+    const regionCell = cellOf(document, byId, this.router.phases(document.service));
+    const cells = splitCell(regionCell, this.states);
     const due = new Map(this.missed);
     this.missed.clear();
     cells.forEach((cell, index) => {
@@ -109,13 +109,13 @@
       sequence: this.sequence,
     });
     const reply = await sendPlan(this.context, upstream.sidecarAddress, plan);
-    this.router.hear(service, { type: reply ? 'heard' : 'failed', upstream: place.upstream });
+    this.router.observe(service, { type: reply ? 'heard' : 'failed', upstream: place.upstream });
     if (!reply) this.missed.set(place.upstream, place);
     else if (!reply.accepted) this.refused(place, reply.epoch as Epoch, reply.refusal?.type ?? '');
   }
 
   private refused({ upstream }: Place, epoch: Epoch, reason: string): void {
-    this.context.log.warn('plan refused', { upstream, epoch, reason });
+    this.context.log.warn('plan refused by the sidecar', { upstream, epoch, reason });
     this.context.metrics.count('planner.refused', 1, { reason });
     this.lease.step({ type: 'met-epoch', epoch });
   }
--- a/src/entry/problem.ts
+++ b/src/entry/problem.ts
@@ -1,6 +1,6 @@
 import { Executed, type Refusal } from '../wire/index.js';
 
-/** HTTP status of each refusal type; 503 for those not listed. */
+/** HTTP status by refusal type; 503 for types that are not listed. */
 const STATUS: Readonly<Record<string, number>> = {
   unauthenticated: 401,
   'not-found': 404,
@@ -42,7 +42,7 @@
 const FALLBACK_STATUS = 503;
 const MS_PER_SECOND = 1000;
 
-/** An RFC 9457 answer for a refusal. */
+/** Returns the RFC 9457 response for a refusal. */
 export function problem(
   refusal: Refusal,
   requestId: string,
--- a/src/entry/publishfiles.ts
+++ b/src/entry/publishfiles.ts
@@ -2,10 +2,10 @@
 import { parse } from 'jsonc-parser';
 import type { Board } from '../shell/board/index.js';
 
-/** Lower than any revision that a store gives to a document. */
+/** Lower than any revision that a store assigns to a document. */
 const FILE_REVISION = 1;
 
-/** Puts documents from files on the board, for trials without a store. */
+/** Publishes documents from files on the board, for trials without a store. */
 export function publishFiles(files: readonly string[], board: Board): void {
   for (const file of files) {
     const value = readFileSync(file);
--- a/src/entry/roundrobin.ts
+++ b/src/entry/roundrobin.ts
@@ -3,25 +3,25 @@
 import type { MemberPhase } from '../core/member/index.js';
 import { refuse } from '../core/refusal/index.js';
 import type { Refusal } from '../wire/index.js';
-import type { Choice, Directory, Router, Want } from './part/index.js';
+import type { Choice, Directory, Router, RouteRequest } from './component/index.js';
 
 const ANY_INCARNATION = 0 as Incarnation;
 
-/** Goes through the upstreams of the service in turn: the simplest baseline. */
+/** Chooses the upstreams of a service in rotation, without regard to load or health. */
 export class RoundRobin implements Router {
-  private turn = 0;
+  private nextIndex = 0;
 
   constructor(private readonly directory: Directory) {}
 
-  choose(want: Want): Promise<Result<Choice, Refusal>> {
+  choose(request: RouteRequest): Promise<Result<Choice, Refusal>> {
     const document = this.directory
       .documents()
-      .find(({ service }) => service === want.target.service);
+      .find(({ service }) => service === request.target.service);
     const upstreams = (document?.groups ?? [])
       .flatMap((group) => group.upstreams)
-      .filter(({ id }) => !want.tried.includes(id));
-    const upstream = upstreams[this.turn % Math.max(1, upstreams.length)];
-    this.turn += 1;
+      .filter(({ id }) => !request.tried.includes(id));
+    const upstream = upstreams[this.nextIndex % Math.max(1, upstreams.length)];
+    this.nextIndex += 1;
     if (!upstream) {
       return Promise.resolve(result.Err(refuse('no-upstream', 'No upstream is left to try.')));
     }
@@ -34,11 +34,11 @@
     );
   }
 
-  learn(): void {}
+  recordOutcome(): void {}
 
-  abandon(): void {}
+  release(): void {}
 
-  hear(): void {}
+  observe(): void {}
 
   phases(): ReadonlyMap<UpstreamId, MemberPhase> {
     return new Map();
--- a/src/entry/routing/declaredof.ts
+++ b/src/entry/routing/declaredevent.ts
@@ -1,8 +1,8 @@
 import type { ServiceDocument } from '../../core/document/index.js';
 import type { RoutingEvent } from '../../core/routing/index.js';
 
-/** What routing has to know of a document. */
-export function declaredOf({
+/** Returns the event that declares a document's upstreams and models to routing. */
+export function declaredEvent({
   groups,
   models,
 }: ServiceDocument): Extract<RoutingEvent, { type: 'declared' }> {
--- a/src/entry/routing/hostwatch.ts
+++ b/src/entry/routing/hostlistpoller.ts
@@ -2,13 +2,13 @@
 import type { MemberEvent } from '../../core/member/index.js';
 import type { ServiceDocument } from '../../core/document/index.js';
 import type { HostList } from '../../port/index.js';
-import type { Context } from '../part/index.js';
+import type { Context } from '../component/index.js';
 
 type Hosts = Extract<Awaited<ReturnType<HostList['read']>>, { ok: true }>['val'];
-type Listed = Extract<MemberEvent, { type: 'listed' }>;
+type ListedEvent = Extract<MemberEvent, { type: 'listed' }>;
 
-/** The part of a reading that concerns a service: its upstreams, known by their sidecars' addresses. */
-function listedOf(document: ServiceDocument, hosts: Hosts): Listed {
+/** Returns the listed hosts of one service's upstreams, matched by the addresses of their sidecars. */
+function listedEvent(document: ServiceDocument, hosts: Hosts): ListedEvent {
   const states = new Map(hosts.map(({ address, state }) => [address, state]));
   const upstreams = document.groups.flatMap((group) => group.upstreams);
   const listed = upstreams.flatMap(({ id, sidecarAddress }) => {
@@ -18,8 +18,8 @@
   return { type: 'listed', hosts: listed };
 }
 
-/** Reads the platform's host list again and again for membership; a failed reading says nothing. */
-export class HostWatch {
+/** Polls the platform's host list and reports it to membership. A failed read is ignored: it implies nothing about hosts. */
+export class HostListPoller {
   private stopped = false;
 
   private cancel = () => {};
@@ -29,7 +29,7 @@
     private readonly hostList: HostList,
     private readonly pollMs: Ms,
     private readonly documents: () => readonly ServiceDocument[],
-    private readonly tell: (service: ServiceDocument['service'], event: Listed) => void,
+    private readonly report: (service: ServiceDocument['service'], event: ListedEvent) => void,
   ) {}
 
   async poll(): Promise<void> {
@@ -37,7 +37,7 @@
     if (this.stopped) return;
     if (read.ok) {
       for (const document of this.documents()) {
-        this.tell(document.service, listedOf(document, read.val));
+        this.report(document.service, listedEvent(document, read.val));
       }
     }
     this.cancel = this.context.clock.after(this.pollMs, () => {
--- a/src/entry/routing/index.ts
+++ b/src/entry/routing/index.ts
@@ -1,2 +1,2 @@
-/** The router of an entry: carries news to the membership and routing cores, and their effects out. */
+/** The router of an entry: passes events to the membership and routing cores, and performs their effects. */
 export { PolicyRouter } from './policyrouter.js';
--- a/src/entry/routing/policyrouter.ts
+++ b/src/entry/routing/policyrouter.ts
@@ -15,26 +15,35 @@
 import { HttpHostList } from '../../shell/hosts/index.js';
 import type { BoardRecord } from '../../shell/board/index.js';
 import { UpstreamRecord, type Refusal, type RescueReply } from '../../wire/index.js';
-import type { Choice, Context, Directory, Outcome, Router, Want } from '../part/index.js';
-import { declaredOf } from './declaredof.js';
-import { HostWatch } from './hostwatch.js';
+import type {
+  Choice,
+  Context,
+  Directory,
+  Outcome,
+  Router,
+  RouteRequest,
+} from '../component/index.js';
+import { declaredEvent } from './declaredevent.js';
+import { HostListPoller } from './hostlistpoller.js';
 import { ServiceRouting } from './servicerouting.js';
 import { SuspectProbe } from './suspectprobe.js';
 
-const UPSTREAMS = 'upstream/';
-const RESCUE_TIMEOUT_MS = 2_000;
+/** Key prefix of the upstream records on the board. */
+const PREFIX = 'upstream/';
 
-/** Routes by what documents, the board and answers tell: see docs/design/routing.md. */
+const LOAD_REQUEST_TIMEOUT_MS = 2_000;
+
+/** Routes requests by service documents, board records and the answers of upstreams: see docs/design/routing.md. */
 export class PolicyRouter implements Router {
   private readonly services = new Map<ServiceId, ServiceRouting>();
 
   private revision = -1 as Revision;
 
-  private readonly hosts: HostWatch | undefined;
+  private readonly hostList: HostListPoller | undefined;
 
   private readonly probe: SuspectProbe;
 
-  private readonly stopListening: () => void;
+  private readonly unsubscribe: () => void;
 
   constructor(
     private readonly context: Context,
@@ -43,31 +52,31 @@
     this.probe = new SuspectProbe(
       context,
       ({ service, upstream }) => this.phases(service).get(upstream) === 'suspect',
-      ({ service, upstream }, type) => this.hear(service, { type, upstream }),
+      ({ service, upstream }, type) => this.observe(service, { type, upstream }),
     );
-    this.stopListening = context.board.onChange(UPSTREAMS, (record) => this.adopt(record));
+    this.unsubscribe = context.board.onChange(PREFIX, (record) => this.adopt(record));
     this.refresh();
-    this.hosts = this.watchHosts();
+    this.hostList = this.pollHostList();
   }
 
-  choose(want: Want): Promise<Result<Choice, Refusal>> {
+  choose(request: RouteRequest): Promise<Result<Choice, Refusal>> {
     this.refresh();
-    const service = this.services.get(want.target.service);
-    if (service) return service.choose(want);
+    const service = this.services.get(request.target.service);
+    if (service) return service.choose(request);
     const refusal = refuse('document-absent', 'This entry knows no document of the service.');
     return Promise.resolve(result.Err(refusal));
   }
 
-  learn(outcome: Outcome): void {
-    this.services.get(outcome.want.target.service)?.learn(outcome);
+  recordOutcome(outcome: Outcome): void {
+    this.services.get(outcome.request.target.service)?.recordOutcome(outcome);
   }
 
-  abandon(service: ServiceId, requestId: RequestId): void {
-    this.services.get(service)?.abandon(requestId);
+  release(service: ServiceId, requestId: RequestId): void {
+    this.services.get(service)?.release(requestId);
   }
 
-  hear(service: ServiceId, event: MemberEvent): void {
-    this.services.get(service)?.hear(event);
+  observe(service: ServiceId, event: MemberEvent): void {
+    this.services.get(service)?.observe(event);
   }
 
   phases(service: ServiceId): ReadonlyMap<UpstreamId, MemberPhase> {
@@ -75,27 +84,27 @@
   }
 
   close(): void {
-    this.stopListening();
-    this.hosts?.stop();
+    this.unsubscribe();
+    this.hostList?.stop();
     this.probe.stop();
     for (const service of this.services.values()) service.stop();
   }
 
-  private watchHosts(): HostWatch | undefined {
+  private pollHostList(): HostListPoller | undefined {
     const { hostList } = this.context.settings;
     if (!hostList) return undefined;
-    const watch = new HostWatch(
+    const watch = new HostListPoller(
       this.context,
       new HttpHostList(hostList),
       hostList.pollMs,
       () => this.directory.documents(),
-      (service, event) => this.hear(service, event),
+      (service, event) => this.observe(service, event),
     );
     void watch.poll();
     return watch;
   }
 
-  /** Adopts documents that have come into force since the last look. */
+  /** Adopts documents that have come into force since the last call. */
   private refresh(): void {
     const revision = this.directory.revision();
     if (revision === this.revision) return;
@@ -103,7 +112,7 @@
     for (const document of this.directory.documents()) {
       const known = this.services.get(document.service);
       const service = known ?? this.open(document.service);
-      service.step(declaredOf(document));
+      service.step(declaredEvent(document));
       if (!known) this.catchUp(document.service);
     }
   }
@@ -112,18 +121,18 @@
     const { clock, settings, log } = this.context;
     const service = new ServiceRouting(
       clock,
-      (effect, heldElsewhere) => this.askRescue(effect, heldElsewhere),
-      (upstream, from, to) => this.tellMember(id, upstream, from, to),
+      (effect, heldElsewhere) => this.requestLoad(effect, heldElsewhere),
+      (upstream, from, to) => this.reportPhase(id, upstream, from, to),
       settings.availabilityZone,
       hash32(settings.hostId),
     );
     this.services.set(id, service);
-    log.info('routing a service', { service: id });
+    log.info('first document of the service received; routing it from now on', { service: id });
     return service;
   }
 
   private catchUp(service: ServiceId): void {
-    for (const record of this.context.board.list(`${UPSTREAMS}${service}/`)) this.adopt(record);
+    for (const record of this.context.board.list(`${PREFIX}${service}/`)) this.adopt(record);
   }
 
   private adopt({ key, value }: BoardRecord): void {
@@ -131,7 +140,7 @@
     service?.adopt(UpstreamRecord.decode(value));
   }
 
-  private tellMember(service: ServiceId, upstream: UpstreamId, from: string, to: string): void {
+  private reportPhase(service: ServiceId, upstream: UpstreamId, from: string, to: string): void {
     this.context.log.info('upstream changed', { service, upstream, from, to });
     this.context.metrics.count('member.changed', 1, { from, to });
     if (to !== 'suspect') return;
@@ -145,17 +154,22 @@
     return upstreams.find(({ id }) => id === upstream)?.sidecarAddress;
   }
 
-  private askRescue(
+  private requestLoad(
     effect: Extract<RoutingEffect, { type: 'rescue' }>,
     heldElsewhere: readonly ModelId[],
   ): Promise<RescueReply | undefined> {
     const { upstream, sidecarAddress, target, deadlineMs } = effect;
     const { service, model = '', adapter = '' } = target;
-    this.context.log.info('asking for a load', { service, model, adapter, upstream });
+    this.context.log.info('asking a sidecar to load a model for requests', {
+      service,
+      model,
+      adapter,
+      upstream,
+    });
     this.context.metrics.count('rescue.asked');
-    const leftMs = Math.ceil(deadlineMs);
-    const request = { service, model, adapter, deadlineMs: leftMs, heldElsewhere };
-    const deadline = this.context.clock.wallMs() + RESCUE_TIMEOUT_MS;
+    const remainingMs = Math.ceil(deadlineMs);
+    const request = { service, model, adapter, deadlineMs: remainingMs, heldElsewhere };
+    const deadline = this.context.clock.wallMs() + LOAD_REQUEST_TIMEOUT_MS;
     return new Promise((resolve) => {
       const client = this.context.link.client(sidecarAddress);
       client.rescue(request, new Metadata(), { deadline }, (error, reply) =>
--- a/src/entry/routing/servicerouting.ts
+++ b/src/entry/routing/servicerouting.ts
@@ -24,23 +24,23 @@
   type RoutingState,
 } from '../../core/routing/index.js';
 import type { Refusal, RescueReply, UpstreamRecord } from '../../wire/index.js';
-import type { Choice, Outcome, Want } from '../part/index.js';
+import type { Choice, Outcome, RouteRequest } from '../component/index.js';
 
-/** Asks a sidecar to load a model; undefined if it gave no answer. */
-type AskRescue = (
+/** Requests an on-demand load from a sidecar. Resolves with undefined if it did not answer. */
+type RequestLoad = (
   effect: Extract<RoutingEffect, { type: 'rescue' }>,
   heldElsewhere: readonly ModelId[],
 ) => Promise<RescueReply | undefined>;
 
-/** Tells of a member's new phase. */
-type TellMember = (upstream: UpstreamId, from: string, to: string) => void;
+/** Reports the new phase of an upstream. */
+type ReportPhase = (upstream: UpstreamId, from: string, to: string) => void;
 
 type Chosen = Result<Choice, Refusal>;
 
 const TICK_MS = 100;
 
-/** Which news an attempt's end is for membership. */
-const SIGNS: Readonly<Record<Outcome['type'], 'heard' | 'failed' | undefined>> = {
+/** Membership event by the way in which an attempt ended. */
+const MEMBER_EVENTS: Readonly<Record<Outcome['type'], 'heard' | 'failed' | undefined>> = {
   answered: 'heard',
   refused: 'heard',
   broken: 'failed',
@@ -48,7 +48,7 @@
   cancelled: undefined,
 };
 
-/** Routing of one service: its two cores, and the requests that wait for a choice. */
+/** Routing of one service: its membership and routing cores, and the requests that wait for an upstream. */
 export class ServiceRouting {
   private members: MemberState = { members: new Map() };
 
@@ -62,29 +62,35 @@
 
   constructor(
     private readonly clock: Clock,
-    private readonly askRescue: AskRescue,
-    private readonly tellMember: TellMember,
+    private readonly requestLoad: RequestLoad,
+    private readonly reportPhase: ReportPhase,
     availabilityZone: string,
     seed: number,
   ) {
     this.routing = createRouting(availabilityZone, seed);
   }
 
-  choose(want: Want): Promise<Chosen> {
+  choose(request: RouteRequest): Promise<Chosen> {
     if (this.clock.nowMs() - this.tickedAtMs >= TICK_MS) this.tick();
     return new Promise((resolve) => {
-      this.pending.get(want.requestId)?.(
-        result.Err(refuse('request-repeated', 'The same request asked for an upstream again.')),
+      this.pending.get(request.requestId)?.(
+        result.Err(
+          refuse(
+            'request-repeated',
+            'The request asked for an upstream again while it was waiting for one.',
+          ),
+        ),
       );
-      this.pending.set(want.requestId, resolve);
-      this.step({ type: 'want', want });
+      this.pending.set(request.requestId, resolve);
+      this.step({ type: 'want', want: request });
     });
   }
 
-  learn({ upstream, want, type, load, refusal }: Outcome): void {
-    const { requestId, target, prefixHash } = want;
-    const sign = refusal?.type === 'upstream-leaving' ? 'refused-leaving' : SIGNS[type];
-    if (sign) this.hear({ type: sign, upstream });
+  recordOutcome({ upstream, request, type, load, refusal }: Outcome): void {
+    const { requestId, target, prefixHash } = request;
+    const memberEvent =
+      refusal?.type === 'upstream-leaving' ? 'refused-leaving' : MEMBER_EVENTS[type];
+    if (memberEvent) this.observe({ type: memberEvent, upstream });
     this.step({
       type: 'outcome',
       requestId,
@@ -97,14 +103,14 @@
     });
   }
 
-  abandon(requestId: RequestId): void {
+  release(requestId: RequestId): void {
     this.step({ type: 'abandoned', requestId });
     const gone = refuse('cancelled', 'The request needs no upstream any more.');
     this.resolve(requestId, result.Err(gone));
   }
 
   adopt(record: UpstreamRecord): void {
-    this.hear({
+    this.observe({
       type: 'recorded',
       upstream: record.upstream as UpstreamId,
       incarnation: record.incarnation as Incarnation,
@@ -117,20 +123,20 @@
     return new Map([...this.members.members].map(([id, { phase }]) => [id, phase]));
   }
 
-  /** Gives news of liveness to membership, and what follows from it to routing. */
-  hear(event: MemberEvent): void {
+  /** Passes an observation of liveness to membership, and the resulting phase changes to routing. */
+  observe(event: MemberEvent): void {
     const { state, effects } = stepMember(this.members, event, this.clock.nowMs());
     this.members = state;
     for (const { upstream, from, to, incarnation } of effects) {
       this.step({ type: 'member', upstream, phase: to, incarnation });
-      if (from !== to) this.tellMember(upstream, from, to);
+      if (from !== to) this.reportPhase(upstream, from, to);
     }
   }
 
   step(event: RoutingEvent): void {
     const { state, effects } = stepRouting(this.routing, event, this.clock.nowMs());
     this.routing = state;
-    for (const effect of effects) this.carryOut(effect);
+    for (const effect of effects) this.perform(effect);
     this.tickWhileWaiting();
   }
 
@@ -139,8 +145,8 @@
     this.cancelTick = undefined;
   }
 
-  private carryOut(effect: RoutingEffect): void {
-    if (effect.type === 'rescue') void this.rescue(effect);
+  private perform(effect: RoutingEffect): void {
+    if (effect.type === 'rescue') void this.load(effect);
     else if (effect.type === 'refuse') this.resolve(effect.requestId, result.Err(effect.refusal));
     else {
       const { upstream, sidecarAddress, incarnation } = effect;
@@ -153,17 +159,17 @@
     this.pending.delete(requestId);
   }
 
-  private async rescue(effect: Extract<RoutingEffect, { type: 'rescue' }>): Promise<void> {
+  private async load(effect: Extract<RoutingEffect, { type: 'rescue' }>): Promise<void> {
     const { target, upstream } = effect;
     const sharedBeforeMs = this.clock.nowMs() - routingLimits.minResidencyMs;
     const before = effect.sharing ? sharedBeforeMs : undefined;
-    const reply = await this.askRescue(effect, heldElsewhere(this.routing, upstream, before));
+    const reply = await this.requestLoad(effect, heldElsewhere(this.routing, upstream, before));
     this.step({ type: 'rescued', target, upstream, reply });
   }
 
   private tick(): void {
     this.tickedAtMs = this.clock.nowMs();
-    this.hear({ type: 'tick' });
+    this.observe({ type: 'tick' });
     this.step({ type: 'tick' });
   }
 
--- a/src/entry/routing/suspectprobe.ts
+++ b/src/entry/routing/suspectprobe.ts
@@ -1,12 +1,12 @@
 import { Metadata } from '@grpc/grpc-js';
 import type { Ms, ServiceId, UpstreamId } from '../../base/index.js';
-import type { Context } from '../part/index.js';
+import type { Context } from '../component/index.js';
 
-const FIRST_MS: Ms = 1_000;
-const LONGEST_MS: Ms = 8_000;
+const FIRST_DELAY_MS: Ms = 1_000;
+const MAX_DELAY_MS: Ms = 8_000;
 const TIMEOUT_MS: Ms = 1_500;
 
-/** An upstream in doubt, and how its sidecar is reached. */
+/** A suspect upstream and the address of its sidecar. */
 interface Suspect {
   readonly service: ServiceId;
   readonly upstream: UpstreamId;
@@ -14,8 +14,8 @@
 }
 
 /**
- * Asks the sidecars of upstreams in doubt whether they live. Routing avoids them, so without this an
- * upstream that is back would be heard of only by chance.
+ * Probes the sidecars of suspect upstreams. Routing avoids these upstreams, so without probes their recovery would be
+ * noticed only by chance.
  */
 export class SuspectProbe {
   private readonly timers = new Map<UpstreamId, () => void>();
@@ -23,11 +23,14 @@
   constructor(
     private readonly context: Pick<Context, 'clock' | 'link'>,
     private readonly isSuspect: (suspect: Suspect) => boolean,
-    private readonly tell: (suspect: Suspect, sign: 'heard' | 'failed') => void,
+    private readonly report: (suspect: Suspect, type: 'heard' | 'failed') => void,
   ) {}
 
-  /** Asks until the doubt is over: after a second at first, then less often while nobody answers. */
-  begin(suspect: Suspect, afterMs: Ms = FIRST_MS): void {
+  /**
+   * Probes the upstream until it is no longer suspect: first after one second, then with a delay that doubles up to eight
+   * seconds as long as no answer arrives.
+   */
+  begin(suspect: Suspect, afterMs: Ms = FIRST_DELAY_MS): void {
     this.timers.get(suspect.upstream)?.();
     const cancel = this.context.clock.after(afterMs, () => {
       this.timers.delete(suspect.upstream);
@@ -46,9 +49,9 @@
     const deadline = clock.wallMs() + TIMEOUT_MS;
     const client = link.client(suspect.sidecarAddress);
     client.describe({}, new Metadata(), { deadline }, (error) => {
-      this.tell(suspect, error ? 'failed' : 'heard');
-      const nextMs = error ? Math.min(LONGEST_MS, afterMs * 2) : FIRST_MS;
-      if (this.isSuspect(suspect)) this.begin(suspect, nextMs);
+      this.report(suspect, error ? 'failed' : 'heard');
+      const nextDelayMs = error ? Math.min(MAX_DELAY_MS, afterMs * 2) : FIRST_DELAY_MS;
+      if (this.isSuspect(suspect)) this.begin(suspect, nextDelayMs);
     });
   }
 }
--- a/src/entry/startentry.ts
+++ b/src/entry/startentry.ts
@@ -1,35 +1,35 @@
 import type { Server } from 'node:http';
 import { createApp } from './createapp.js';
-import { createDesk } from './createdesk.js';
-import type { Desk } from './desk.js';
+import { createEntryContext } from './createentrycontext.js';
+import type { EntryContext } from './entrycontext.js';
 import type { EntrySettings } from './entrysettings.js';
 import { createListener } from './listener.js';
 import { openMesh } from './openmesh.js';
 import { stopEntry } from './stopentry.js';
 
-/** How often requests in flight are looked over for what stands still. */
-const SWEEP_MS = 1000;
+/** How often requests in flight are checked for stalls. */
+const STALL_CHECK_MS = 1000;
 
 /** A running entry. */
 interface Entry {
-  /** Port of the callers' listener. */
+  /** Port of the listener for callers. */
   readonly port: number;
-  /** Refuses new work, waits for what is in flight (bound in settings), and closes. */
+  /** Refuses new requests, waits for those in flight up to `drainTimeoutMs`, and closes. */
   stop(): Promise<void>;
-  /** Gives what is still in flight a typed end at once. */
+  /** Ends the requests in flight at once with a refusal. */
   expire(): void;
 }
 
-function sweepOften(desk: Desk): () => void {
-  let forget = () => {};
+function startStallChecks(context: EntryContext): () => void {
+  let cancel = () => {};
   const again = () => {
-    const nowMs = desk.clock.nowMs();
-    for (const run of desk.runs) run.sweep(nowMs);
-    desk.metrics.gauge('in_flight', desk.gate.inFlight());
-    forget = desk.clock.after(SWEEP_MS, again);
+    const nowMs = context.clock.nowMs();
+    for (const run of context.runs) run.checkStall(nowMs);
+    context.metrics.gauge('in_flight', context.gate.inFlight());
+    cancel = context.clock.after(STALL_CHECK_MS, again);
   };
-  forget = desk.clock.after(SWEEP_MS, again);
-  return () => forget();
+  cancel = context.clock.after(STALL_CHECK_MS, again);
+  return () => cancel();
 }
 
 async function listen(server: Server, { host, port }: EntrySettings['listen']): Promise<number> {
@@ -40,21 +40,21 @@
   return (server.address() as { port: number }).port;
 }
 
-/** Starts an entry: callers' HTTP on one side, sidecars on the other. */
+/** Starts an entry, which accepts HTTP requests of callers and forwards them to sidecars. */
 export async function startEntry(settings: EntrySettings): Promise<Entry> {
-  const desk = await createDesk(settings);
-  const mesh = await openMesh(desk, settings.meshListen);
-  const listener = createListener(createApp(desk), desk.limits, settings.tls, desk.log);
+  const context = await createEntryContext(settings);
+  const mesh = await openMesh(context, settings.meshListen);
+  const listener = createListener(createApp(context), context.limits, settings.tls, context.log);
   const port = await listen(listener.server, settings.listen);
-  const endSweep = sweepOften(desk);
-  desk.planner.start();
-  desk.log.info('listening', { port });
+  const stopStallChecks = startStallChecks(context);
+  context.planner.start();
+  context.log.info('listening', { port });
   let stopped: Promise<void> | undefined;
   const stop = async () => {
-    await stopEntry.stop(desk, listener);
-    endSweep();
+    await stopEntry.stop(context, listener);
+    stopStallChecks();
     mesh.close();
-    desk.credentials.close();
+    context.credentials.close();
   };
   return {
     port,
@@ -62,6 +62,6 @@
       stopped ??= stop();
       return stopped;
     },
-    expire: () => stopEntry.expire(desk),
+    expire: () => stopEntry.expire(context),
   };
 }
--- a/src/entry/stopentry.ts
+++ b/src/entry/stopentry.ts
@@ -1,16 +1,18 @@
 import { refuse } from '../core/refusal/index.js';
 import { afterReads } from '../shell/loop/index.js';
 import { Executed } from '../wire/index.js';
-import type { Desk } from './desk.js';
+import type { EntryContext } from './entrycontext.js';
 import type { createListener } from './listener.js';
 
 type Listener = ReturnType<typeof createListener>;
 
 const CLOSE_IDLE_EVERY_MS = 20;
-const TYPED_END_WITHIN_MS = 500;
 
-/** Gives everything in flight a typed end now. */
-function expire({ runs }: Desk): void {
+/** Time for callers to read the refusal that ends their request, before their connections are closed. */
+const REFUSAL_SENT_WITHIN_MS = 500;
+
+/** Ends all requests in flight now with a refusal. */
+function expire({ runs }: EntryContext): void {
   const options = { executed: Executed.EXECUTED_UNKNOWN };
   for (const run of runs) {
     run.expire(refuse('entry-leaving', 'This entry stopped before the answer was whole.', options));
@@ -18,16 +20,16 @@
 }
 
 /**
- * Closes the listener. Connections that callers keep open are closed as soon as they are idle. Both wait for what has
- * arrived to be read: a connection that is not accepted yet, or is closed with unread bytes, would be reset.
+ * Closes the listener, and keep-alive connections as soon as they are idle. Both steps first let the process read what
+ * has arrived: otherwise a connection that is not accepted yet, or that has unread bytes, would be reset.
  */
-function close({ clock }: Desk, { server, connections }: Listener): Promise<void> {
+function close({ clock }: EntryContext, { server, connections }: Listener): Promise<void> {
   return new Promise((resolve) => {
     let isClosed = false;
-    let forget = () => {};
+    let cancel = () => {};
     const closeUnusedSoon = () => {
       if (isClosed) return;
-      forget = clock.after(CLOSE_IDLE_EVERY_MS, () => {
+      cancel = clock.after(CLOSE_IDLE_EVERY_MS, () => {
         afterReads(clock, () => {
           connections.closeUnused();
           closeUnusedSoon();
@@ -37,7 +39,7 @@
     afterReads(clock, () => {
       server.close(() => {
         isClosed = true;
-        forget();
+        cancel();
         resolve();
       });
       closeUnusedSoon();
@@ -45,24 +47,24 @@
   });
 }
 
-/** Refuses new work, finishes what is in flight within the bound, and closes the listener. */
-async function stop(desk: Desk, listener: Listener): Promise<void> {
-  const { gate, clock, log, settings } = desk;
+/** Refuses new requests, finishes those in flight within `drainTimeoutMs`, and closes the listener. */
+async function stop(context: EntryContext, listener: Listener): Promise<void> {
+  const { gate, clock, log, settings } = context;
   log.info('stopping', { inFlight: gate.inFlight() });
-  desk.planner.stop();
+  context.planner.stop();
   const idle = gate.close();
-  const forgetBound = clock.after(settings.drainTimeoutMs, () => expire(desk));
-  // A caller that does not take its answer, or its typed end, is given up.
-  const cutMs = settings.drainTimeoutMs + TYPED_END_WITHIN_MS;
-  const forgetCut = clock.after(cutMs, () => listener.server.closeAllConnections());
+  const cancelExpiry = clock.after(settings.drainTimeoutMs, () => expire(context));
+  // Callers that read neither their answer nor the refusal are disconnected.
+  const cutMs = settings.drainTimeoutMs + REFUSAL_SENT_WITHIN_MS;
+  const cancelCut = clock.after(cutMs, () => listener.server.closeAllConnections());
   await idle;
-  forgetBound();
-  await close(desk, listener);
-  forgetCut();
-  desk.router.close();
-  desk.link.close();
+  cancelExpiry();
+  await close(context, listener);
+  cancelCut();
+  context.router.close();
+  context.link.close();
   log.info('stopped');
 }
 
-/** How an entry is stopped: as planned, or at once. */
+/** Stops an entry as planned (`stop`) or ends its requests at once (`expire`). */
 export const stopEntry = { stop, expire };
--- a/src/entry/tickets/boardview.ts
+++ b/src/entry/tickets/boardview.ts
@@ -3,7 +3,7 @@
 import type { Board } from '../../shell/board/index.js';
 import { Heir } from '../../wire/index.js';
 
-/** What the board tells of the sidecars of one service. */
+/** The view of one service's sidecars that locating tickets requires, taken from the board. */
 export function boardView(board: Board, service: string): RouteView {
   return {
     incarnationOf: (upstream) =>
--- a/src/entry/tickets/index.ts
+++ b/src/entry/tickets/index.ts
@@ -1,2 +1,2 @@
-/** Run at most once at an entry: finds the one sidecar that may run a request with a ticket or a key. */
-export { TicketDesk } from './ticketdesk.js';
+/** At-most-once execution at an entry: finds the only sidecar that may run a request with a ticket or an idempotency key. */
+export { TicketService } from './ticketservice.js';
--- a/src/entry/tickets/mapping.ts
+++ b/src/entry/tickets/keymapping.ts
@@ -9,41 +9,41 @@
 } from '../../core/idempotency/index.js';
 import type { KeyValueStore } from '../../port/index.js';
 import type { Refusal, TicketReply } from '../../wire/index.js';
-import type { Context } from '../part/index.js';
-import type { Leases } from './leases.js';
+import type { Context } from '../component/index.js';
+import type { SharedLeases } from './sharedleases.js';
 
-/** Asks the store that a key does not exist yet. */
+/** Expected revision of a key that does not exist yet. */
 const ABSENT = 0 as Revision;
 
-/** What mapping one key needs. */
+/** What the mapping of one key requires. */
 interface Ports extends Pick<Context, 'clock'> {
   readonly store: KeyValueStore;
-  readonly leases: Leases;
-  /** Takes one write from this entry's share; false when it is spent. */
+  readonly leases: SharedLeases;
+  /** Takes one write from this entry's budget; false if the budget is spent. */
   readonly takeWrite: () => boolean;
   readonly retryAfterMs: Ms;
   readonly askTicket: () => Promise<Result<TicketReply, Refusal>>;
 }
 
-/** One key to be mapped. */
-interface Key {
+/** The key to map, and the request that carries it. */
+interface KeyRequest {
   readonly key: string;
   readonly requestHash: string;
   readonly ticketValidMs: Ms;
 }
 
-type Act<Type extends MappingEffect['type']> = (
+type EffectHandler<Type extends MappingEffect['type']> = (
   effect: Extract<MappingEffect, { type: Type }>,
 ) => Promise<MappingEvent>;
 
-/** Takes one `Idempotency-Key` to its ticket: the core decides, the store and a sidecar are asked here. */
-export class Mapping {
+/** Maps one `Idempotency-Key` to its ticket: performs the effects of the mapping core at the store and a sidecar. */
+export class KeyMapping {
   private state: MappingState;
 
   private readonly arrivedAtMs: Ms;
 
-  private readonly acts: {
-    readonly [Type in Exclude<MappingEffect['type'], 'bind' | 'refuse'>]: Act<Type>;
+  private readonly handlers: {
+    readonly [Type in Exclude<MappingEffect['type'], 'bind' | 'refuse'>]: EffectHandler<Type>;
   } = {
     'ask-ticket': () => this.askTicket(),
     create: ({ value }) => this.create(value),
@@ -52,19 +52,19 @@
 
   constructor(
     private readonly ports: Ports,
-    private readonly wanted: Key,
+    private readonly wanted: KeyRequest,
   ) {
     this.arrivedAtMs = ports.clock.nowMs();
     this.state = startMapping(wanted.requestHash, this.arrivedAtMs).state;
   }
 
-  /** The key's ticket, or why the request is not passed on. */
+  /** Resolves with the key's ticket, or with the refusal of the request. */
   async run(): Promise<Result<string, Refusal>> {
     let [effect] = startMapping(this.wanted.requestHash, this.arrivedAtMs).effects;
     while (effect) {
       if (effect.type === 'bind') return result.Ok(effect.ticket);
       if (effect.type === 'refuse') return result.Err(effect.refusal);
-      const act = this.acts[effect.type] as (one: MappingEffect) => Promise<MappingEvent>;
+      const act = this.handlers[effect.type] as (effect: MappingEffect) => Promise<MappingEvent>;
       const event = await act(effect);
       const change = stepMapping(this.state, event, this.ports.clock.nowMs());
       this.state = change.state;
@@ -84,11 +84,11 @@
   private async create(value: string): Promise<MappingEvent> {
     const { key, ticketValidMs } = this.wanted;
     const { leases, store } = this.ports;
-    const lease = await leases.covering(this.arrivedAtMs, ticketValidMs);
+    const lease = await leases.leaseFor(this.arrivedAtMs, ticketValidMs);
     if (lease.err) return { type: 'failed' };
     const swapped = await store.swap({ key, expectedRevision: ABSENT, value, leaseId: lease.val });
     if (swapped.err) {
-      if (swapped.val.type === 'store-lease-lapsed') leases.forget(ticketValidMs);
+      if (swapped.val.type === 'store-lease-lapsed') leases.discard(ticketValidMs);
       return { type: 'failed' };
     }
     if (swapped.val.type === 'swapped') return { type: 'created' };
--- a/src/entry/tickets/issueat.ts
+++ b/src/entry/tickets/requestticket.ts
@@ -4,8 +4,8 @@
 import { refuse } from '../../core/refusal/index.js';
 import type { Refusal, TicketReply, TicketRequest, WorkClient } from '../../wire/index.js';
 
-/** Asks one sidecar for a ticket. Without an answer nothing has been lost but a ticket. */
-export function issueAt(
+/** Requests a ticket from one sidecar. If the answer is lost, only an unused ticket is lost with it. */
+export function requestTicket(
   client: WorkClient,
   request: TicketRequest,
   deadlineWallMs: Ms,
--- a/src/entry/tickets/ticketdesk.ts
+++ b/src/entry/tickets/ticketservice.ts
@@ -5,59 +5,68 @@
 import { keyHash, requestHash } from '../../shell/hash/index.js';
 import { Budget } from '../../shell/store/index.js';
 import { Executed, type Refusal, type TicketReply, type TicketRequest } from '../../wire/index.js';
-import type { BindAsk, Binding, Choice, Context, Directory, Tickets } from '../part/index.js';
+import type {
+  BindRequest,
+  Binding,
+  Choice,
+  Context,
+  Directory,
+  Tickets,
+} from '../component/index.js';
 import { boardView } from './boardview.js';
-import { issueAt } from './issueat.js';
-import { Leases } from './leases.js';
-import { Mapping } from './mapping.js';
+import { requestTicket } from './requestticket.js';
+import { SharedLeases } from './sharedleases.js';
+import { KeyMapping } from './keymapping.js';
 
-const PREFIX = '/tarragonstile/tickets';
+const KEY_PREFIX = '/tarragonstile/tickets';
 const CALL_TIMEOUT_MS = 2000;
-const KEY_LIMIT = 255;
 
-/** Sidecars that are asked for the ticket of one key, if those before refused. */
-const ASK_LIMIT = 3;
+/** Maximum number of characters of an `Idempotency-Key`. */
+const MAX_KEY_LENGTH = 255;
 
-/** Life of a ticket where the document gives none. */
+/** Maximum number of sidecars that are asked for a ticket for one key, one after the other as each refuses. */
+const MAX_SIDECARS = 3;
+
+/** Lifetime of a ticket if the document sets none. */
 const DEFAULT_VALID_MS = 600_000;
 
 const MS_PER_SECOND = 1000;
 
-/** Options of an entry's run-once part. */
-interface TicketDeskOptions {
-  /** Writes to the store that this entry may spend on keys in a second. */
+/** Options of the ticket service. */
+interface TicketServiceOptions {
+  /** Store writes per second that this entry may spend on idempotency keys. */
   readonly writesPerSecond: number;
 }
 
-/** Tickets and keys at an entry: it keeps none of them, and finds each by its name. */
-export class TicketDesk implements Tickets {
+/** Issues and locates tickets, and maps idempotency keys to them. The entry stores neither: tickets name their sidecar. */
+export class TicketService implements Tickets {
   private readonly budget: Budget;
 
-  private readonly leases: Leases;
+  private readonly leases: SharedLeases;
 
   constructor(
     private readonly context: Context,
     private readonly directory: Directory,
-    private readonly options: TicketDeskOptions,
+    private readonly options: TicketServiceOptions,
   ) {
     this.budget = new Budget(options.writesPerSecond);
-    this.leases = new Leases(context);
+    this.leases = new SharedLeases(context);
   }
 
   issue(choice: Choice, request: TicketRequest): Promise<Result<TicketReply, Refusal>> {
     const client = this.context.link.client(choice.sidecarAddress);
-    return issueAt(client, request, this.context.clock.wallMs() + CALL_TIMEOUT_MS);
+    return requestTicket(client, request, this.context.clock.wallMs() + CALL_TIMEOUT_MS);
   }
 
-  async bind(ask: BindAsk): Promise<Result<Binding, Refusal>> {
+  async bind(ask: BindRequest): Promise<Result<Binding, Refusal>> {
     const { service } = ask;
     if (ask.ticket !== undefined) return this.bound(ask.ticket, service);
     if (ask.idempotencyKey === undefined) return result.Ok({ type: 'free' });
-    if (ask.idempotencyKey.length > KEY_LIMIT) {
-      const detail = `Idempotency-Key may have ${KEY_LIMIT} characters.`;
+    if (ask.idempotencyKey.length > MAX_KEY_LENGTH) {
+      const detail = `Idempotency-Key may have at most ${MAX_KEY_LENGTH} characters.`;
       return result.Err(refuse('header-malformed', detail));
     }
-    const ticket = await this.map(ask, ask.idempotencyKey);
+    const ticket = await this.mapKey(ask, ask.idempotencyKey);
     this.context.metrics.count('key.mapped', 1, { end: ticket.err ? ticket.val.type : 'bound' });
     return ticket.err ? ticket : this.bound(ticket.val, service);
   }
@@ -68,12 +77,12 @@
     const { upstream, incarnation } = place.val;
     const sidecarAddress = this.addressOf(upstream, service);
     if (sidecarAddress) return result.Ok({ upstream, sidecarAddress, incarnation });
-    const detail = `The service has no upstream "${upstream}" any more.`;
+    const detail = `The upstream "${upstream}" that held the ticket is no longer part of the service.`;
     const executed = Executed.EXECUTED_UNKNOWN;
     return result.Err(refuse('ticket-incarnation-gone', detail, { executed }));
   }
 
-  conclude(refusals: readonly Refusal[]): Refusal {
+  finalRefusal(refusals: readonly Refusal[]): Refusal {
     return finalRefusal(refusals);
   }
 
@@ -81,7 +90,7 @@
     return this.locate(ticket, service).map((choice) => ({ type: 'bound', ticket, choice }));
   }
 
-  private map(ask: BindAsk, idempotencyKey: string): Promise<Result<string, Refusal>> {
+  private mapKey(ask: BindRequest, idempotencyKey: string): Promise<Result<string, Refusal>> {
     const { clock, store } = this.context;
     const ticketValidMs = ask.ticketValidMs || DEFAULT_VALID_MS;
     const { writesPerSecond } = this.options;
@@ -91,19 +100,24 @@
       leases: this.leases,
       takeWrite: () => this.budget.take(clock.nowMs()),
       retryAfterMs: MS_PER_SECOND / writesPerSecond,
-      askTicket: () => this.askTicket(ask, ticketValidMs),
+      askTicket: () => this.requestNewTicket(ask, ticketValidMs),
     };
     const owner = `${encodeURIComponent(ask.service)}/${encodeURIComponent(ask.customer)}`;
-    const key = `${PREFIX}/${owner}/${keyHash(idempotencyKey)}`;
+    const key = `${KEY_PREFIX}/${owner}/${keyHash(idempotencyKey)}`;
     const hash = requestHash(ask.method, ask.path, ask.body);
-    return new Mapping(ports, { key, requestHash: hash, ticketValidMs }).run();
+    return new KeyMapping(ports, { key, requestHash: hash, ticketValidMs }).run();
   }
 
-  private async askTicket(ask: BindAsk, validMs: Ms): Promise<Result<TicketReply, Refusal>> {
+  private async requestNewTicket(
+    ask: BindRequest,
+    validMs: Ms,
+  ): Promise<Result<TicketReply, Refusal>> {
     const { customer, service, requestId } = ask;
     const tried: UpstreamId[] = [];
-    let last: Result<TicketReply, Refusal> = result.Err(refuse('no-upstream', 'None was asked.'));
-    while (tried.length < ASK_LIMIT) {
+    let last: Result<TicketReply, Refusal> = result.Err(
+      refuse('no-upstream', 'No sidecar was asked for a ticket.'),
+    );
+    while (tried.length < MAX_SIDECARS) {
       const choice = await ask.choose(tried);
       if (choice.err) return tried.length > 0 ? last : choice;
       last = await this.issue(choice.val, { customer, service, requestId, validMs });
--- a/src/entry/wiring/createboard.ts
+++ b/src/entry/wiring/createboard.ts
@@ -3,11 +3,11 @@
 import { HttpHostList } from '../../shell/hosts/index.js';
 import { MeshBoard } from '../../shell/mesh/index.js';
 import type { PeerCredentials } from '../../shell/tls/index.js';
-import type { Context } from '../part/index.js';
+import type { Context } from '../component/index.js';
 
 const SEED_LIMIT = 2 ** 31;
 
-/** The board of this entry: it holds every record of its region. */
+/** Creates the board of this entry, which holds all records of its region. */
 export function createBoard(
   context: Pick<Context, 'settings' | 'clock' | 'log' | 'metrics' | 'store'> & {
     readonly credentials: PeerCredentials;
--- a/src/entry/wiring/createplanner.ts
+++ b/src/entry/wiring/createplanner.ts
@@ -1,8 +1,8 @@
 import type { BoardStatus } from '../../shell/board/index.js';
-import type { Context, Directory, Router } from '../part/index.js';
+import type { Context, Directory, Router } from '../component/index.js';
 import { Planner } from '../planner/index.js';
 
-/** The planner of this entry; it plans only while it holds a service's lease. */
+/** Creates the planner of this entry, which plans a service only while it holds that service's planner lease. */
 export function createPlanner(
   context: Context & { readonly board: { status(): BoardStatus } },
   directory: Directory,
--- a/src/entry/wiring/createrouter.ts
+++ b/src/entry/wiring/createrouter.ts
@@ -1,7 +1,7 @@
 import { PolicyRouter } from '../routing/index.js';
-import type { Context, Directory, Router } from '../part/index.js';
+import type { Context, Directory, Router } from '../component/index.js';
 
-/** The router of this entry. */
+/** Creates the router of this entry. */
 export function createRouter(context: Context, directory: Directory): Router {
   return new PolicyRouter(context, directory);
 }
--- a/src/entry/wiring/createtickets.ts
+++ b/src/entry/wiring/createtickets.ts
@@ -1,11 +1,11 @@
-import type { Context, Directory, Tickets } from '../part/index.js';
-import { TicketDesk } from '../tickets/index.js';
+import type { Context, Directory, Tickets } from '../component/index.js';
+import { TicketService } from '../tickets/index.js';
 
-/** Several hundred writes a second of the store, shared by a few entries. */
-const WRITES_PER_SECOND = 40;
+/** The store allows several hundred writes per second, which a few entries share. */
+const DEFAULT_WRITES_PER_SECOND = 40;
 
-/** Run-at-most-once tickets of this entry. */
+/** Creates the ticket service of this entry. */
 export function createTickets(context: Context, directory: Directory): Tickets {
-  const { keyWritesPerSecond = WRITES_PER_SECOND } = context.settings;
-  return new TicketDesk(context, directory, { writesPerSecond: keyWritesPerSecond });
+  const { keyWritesPerSecond = DEFAULT_WRITES_PER_SECOND } = context.settings;
+  return new TicketService(context, directory, { writesPerSecond: keyWritesPerSecond });
 }
--- a/test/link.test.ts
+++ b/test/link.test.ts
@@ -13,25 +13,25 @@
   return new SharedLink({ clock, revision: () => 0, sawRevision: () => {} });
 }
 
-interface Asking {
+interface Sending {
   readonly frames: string[];
   readonly lost: Promise<boolean>;
   readonly ended: Promise<void>;
 }
 
-function ask(link: SharedLink, address: string, requestId: string): Asking {
+function ask(link: SharedLink, address: string, requestId: string): Sending {
   const frames: string[] = [];
-  let tellEnd = () => {};
+  let resolveEnded = () => {};
   const ended = new Promise<void>((resolve) => {
-    tellEnd = resolve;
+    resolveEnded = resolve;
   });
   const lost = new Promise<boolean>((resolve) => {
-    const asked = link.ask(address, requestId, 1, head, {
+    const attempt = link.ask(address, requestId, 1, head, {
       take({ body }: Frame) {
         frames.push(body?.$case ?? '');
         if (body?.$case !== 'refusal' && body?.$case !== 'end') return;
-        asked.done();
-        tellEnd();
+        attempt.done();
+        resolveEnded();
       },
       lost: (unsent) => resolve(unsent),
     });
@@ -39,7 +39,7 @@
   return { frames, lost, ended };
 }
 
-/** A gRPC server whose requests are run by the given function. */
+/** Starts a sidecar's gRPC server that runs requests with the given function. */
 async function serve(run: (requestId: string, outlet: Outlet) => Promise<void>) {
   const server = new Server();
   const exchanges: Exchange[] = [];
@@ -61,13 +61,13 @@
 
 const end = { dataCount: 0, failure: '', load: undefined, resumeToken: '', candidates: [] };
 
-test('where nobody listens, a request was certainly not sent', async (t) => {
+test('if nobody listens at the address of the sidecar, the request was certainly not sent', async (t) => {
   const link = openLink(systemClock);
   t.true(await ask(link, '127.0.0.1:1', 'r1').lost);
   link.close();
 });
 
-test('a sidecar that never opens its side is lost in time, and nothing was sent', async (t) => {
+test('a sidecar that does not open its side of the stream counts as lost after 1 s, and the request was not sent', async (t) => {
   const silent = createServer(() => {});
   await new Promise<void>((resolve) => {
     silent.listen(0, '127.0.0.1', resolve);
@@ -82,7 +82,7 @@
   silent.close();
 });
 
-test('a sidecar that is lost in mid-answer may have run it', async (t) => {
+test('if the sidecar is lost in the middle of an answer, the request may have run', async (t) => {
   const { server, address } = await serve((_id, outlet) => {
     outlet.send({ $case: 'start', value: { status: 200, headers: [] } });
     setImmediate(() => server.forceShutdown());
@@ -93,7 +93,7 @@
   link.close();
 });
 
-test('a sidecar that leaves finishes what it has; later requests take another stream', async (t) => {
+test('a draining sidecar finishes its requests; later requests use another stream', async (t) => {
   const finish: (() => void)[] = [];
   const { server, exchanges, address } = await serve(
     (_id, outlet) =>
--- a/test/once.test.ts
+++ b/test/once.test.ts
@@ -6,7 +6,7 @@
 
 const KEY_2 = 2;
 
-/** One thing that happens in a session of the modelled deployment. */
+/** One event of a session in the modelled deployment. */
 type Act =
   | { readonly act: 'send'; readonly entry: number }
   | { readonly act: 'deliver' | 'lose'; readonly message: string }
@@ -29,7 +29,7 @@
   settle: (world) => world.settle(40),
 };
 
-/** The effects of an act are the lines that it adds to the trace. */
+/** Performs one act; its effects are the lines that it adds to the trace. */
 function step(world: World, act: Act): Change<World, string> {
   const before = world.trace.length;
   ACTS[act.act](world, act as never);
@@ -38,7 +38,7 @@
 
 type Point = 'first' | 'create' | 'created' | 'run' | 'retry';
 
-/** What goes wrong, and where in the life of a request. */
+/** Failures by name: the acts that cause each, and the point in the life of a request at which they happen. */
 const FAILURES: Readonly<Record<string, { at: Point; acts: readonly Act[] }>> = {
   'store-down': { at: 'create', acts: [{ act: 'cut-store' }] },
   'lost-answer': { at: 'created', acts: [{ act: 'lose', message: 'answer to create' }] },
@@ -52,7 +52,7 @@
   'two-entries': { at: 'first', acts: [{ act: 'send', entry: 1 }] },
 };
 
-/** A request with a key, its retry, and at each point what goes wrong there. */
+/** Returns the acts of a request with an idempotency key and of its retry, with the failures at their points. */
 function script(names: readonly string[]): Happening<Act>[] {
   const at = (point: Point) =>
     names.flatMap((name) => (FAILURES[name]?.at === point ? FAILURES[name].acts : []));
@@ -78,10 +78,12 @@
 }
 
 const names = Object.keys(FAILURES);
-const alone = names.map((name) => [name]);
-const pairs = names.flatMap((one, index) => names.slice(index + 1).map((other) => [one, other]));
+const single = names.map((name) => [name]);
+const pairs = names.flatMap((first, index) =>
+  names.slice(index + 1).map((other) => [first, other]),
+);
 
-for (const failures of [...alone, ...pairs]) {
+for (const failures of [...single, ...pairs]) {
   test(`golden session: ${failures.join(' and ')}`, (t) => {
     const world = session(
       t,
@@ -94,7 +96,7 @@
   });
 }
 
-test('no interleaving runs a request twice or denies one that ran', (t) => {
+test('in no interleaving does a request run twice, or get reported as not executed although it ran', (t) => {
   const { violation, counterexample, counts } = check(3000, 20_261_202);
   t.is(violation, undefined, counterexample.join('\n'));
   for (const heard of ['runs', 'answers', 'no', 'unknown']) {
--- a/test/planner.test.ts
+++ b/test/planner.test.ts
@@ -31,7 +31,7 @@
   })),
 } as unknown as ServiceDocument;
 
-/** Sidecars that refuse a plan with a lower epoch than they have seen. */
+/** Sidecars that refuse a plan whose epoch is lower than one that they have seen. */
 class Sidecars {
   readonly plans: PlacementPlan[] = [];
 
@@ -58,7 +58,7 @@
   const heard: string[] = [];
   const router = {
     phases: () => new Map(UPSTREAMS.map((id) => [id as UpstreamId, 'ready' as const])),
-    hear: (_service: string, { type }: { readonly type: string }) => heard.push(type),
+    observe: (_service: string, { type }: { readonly type: string }) => heard.push(type),
   };
   const directory = { documents: () => [document], caughtUp: () => true };
   const status = () => ({ relay: true, entryCount: 2 });
@@ -74,8 +74,8 @@
 async function run(clock: VirtualClock, untilMs: number): Promise<void> {
   while (clock.nowMs() < untilMs) {
     clock.advanceTo(clock.nowMs() + 500);
-    // Lets the answers of the store in memory arrive: no time of the clock passes.
-    for (let turn = 0; turn < 8; turn += 1) {
+    // Lets the answers of the in-memory store arrive without advancing the clock.
+    for (let pass = 0; pass < 8; pass += 1) {
       await new Promise((resolve) => {
         setImmediate(resolve);
       });
@@ -83,7 +83,7 @@
   }
 }
 
-test('one entry plans, the next takes over under a higher epoch, and the first is fenced off', async (t) => {
+test('when the lease of the planning entry expires, another entry plans under a higher epoch and the first one is fenced off', async (t) => {
   const store = new MemoryStore({ clock: new VirtualClock() });
   const sidecars = new Sidecars();
   const [firstClock, secondClock] = [new VirtualClock(), new VirtualClock()];
@@ -100,9 +100,9 @@
 
   second.planner.start();
   await run(secondClock, 6_000);
-  t.is(second.planner.explain(document.service), undefined, 'only one holds the lease');
+  t.is(second.planner.explain(document.service), undefined, 'only one entry holds the lease');
 
-  // The first is paused, and its lease lapses.
+  // The first entry is suspended, and its lease expires.
   const leases = (store as unknown as { clock: VirtualClock }).clock;
   leases.advanceTo(60_000);
   await run(secondClock, 16_000);
@@ -116,13 +116,13 @@
     .every(({ epoch }) => epoch === Math.max(...epochs));
   t.true(late);
 
-  const told = explain(
+  const explanations = explain(
     { ...second.context, router: second.router, planner: second.planner } as never,
     [document],
     'notice' as ModelId,
   );
-  t.is(told[0]?.planner?.places[0]?.reason, 'ordered');
-  t.is(told[0]?.movePenalty, 5);
+  t.is(explanations[0]?.planner?.places[0]?.reason, 'ordered');
+  t.is(explanations[0]?.movePenalty, 5);
   first.planner.stop();
   second.planner.stop();
 });
--- a/test/support/fakecontext.ts
+++ b/test/support/fakecontext.ts
@@ -3,10 +3,10 @@
 import { MemoryBoard } from '../../src/shell/board/index.js';
 import type { PlacementPlan, PlacementReply } from '../../src/wire/index.js';
 
-/** Answers a plan as a sidecar would; undefined for no answer. */
+/** Replies to a plan as a sidecar would; undefined if the sidecar does not answer. */
 type Answer = (address: string, plan: PlacementPlan) => PlacementReply | undefined;
 
-/** An entry's context with a board in memory, and sidecars that a function plays. */
+/** Creates the context of an entry with an in-memory board and sidecars whose replies come from a function. */
 export function fakeContext(hostId: string, clock: Clock, store: KeyValueStore, answer: Answer) {
   const acts: { readonly act: string; readonly subject: string }[] = [];
   const client = (address: string) => ({
@@ -14,10 +14,10 @@
       plan: PlacementPlan,
       _metadata: unknown,
       _options: unknown,
-      tell: (error: Error | null, reply?: PlacementReply) => void,
+      callback: (error: Error | null, reply?: PlacementReply) => void,
     ) {
       const reply = answer(address, plan);
-      tell(reply ? null : new TypeError('unreachable'), reply);
+      callback(reply ? null : new TypeError('unreachable'), reply);
     },
   });
   return {
--- a/test/suspectprobe.test.ts
+++ b/test/suspectprobe.test.ts
@@ -21,7 +21,7 @@
   const documents = () => [{ service: SERVICE, groups, models: [] }];
   const directory = { revision: () => 1, documents };
   const router = new PolicyRouter({ ...context, link } as never, directory as never);
-  for (let call = 0; call < 3; call += 1) router.hear(SERVICE, { type: 'failed', upstream: A });
+  for (let call = 0; call < 3; call += 1) router.observe(SERVICE, { type: 'failed', upstream: A });
   t.is(router.phases(SERVICE).get(A), 'suspect');
   clock.advanceTo(8_000);
   t.is(router.phases(SERVICE).get(A), 'suspect');
