--- a/bench/path/source.ts
+++ b/bench/path/source.ts
@@ -1,7 +1,7 @@
 import { Server, ServerCredentials } from '@grpc/grpc-js';
 import { channelOptions } from '../../src/shell/rpc/index.js';
 import { Exchange } from '../../src/sidecar/exchange.js';
-import type { Outlet } from '../../src/sidecar/outlet.js';
+import type { AnswerSink } from '../../src/sidecar/answersink.js';
 import { WorkService, type WorkServer } from '../../src/wire/index.js';
 import type { SourceOptions } from './sourceoptions.js';
 import { tokenEvent } from './tokens.js';
@@ -11,7 +11,7 @@
 const HEADERS = [{ name: 'content-type', value: 'text/event-stream' }];
 
 interface Stream {
-  readonly outlet: Outlet;
+  readonly outlet: AnswerSink;
   readonly payload: Buffer;
   readonly finish: () => void;
   left: number;
@@ -46,7 +46,7 @@
   }
 }
 
-function run(requestId: string, outlet: Outlet): Promise<void> {
+function run(requestId: string, outlet: AnswerSink): Promise<void> {
   outlet.send({ $case: 'start', value: { status: 200, headers: HEADERS } });
   return new Promise((finish) => {
     const stream = { outlet, payload: tokenEvent(requestId), finish, left: options.tokens };
--- a/src/base/brand.ts
+++ b/src/base/brand.ts
@@ -1,5 +1,5 @@
 /**
- * Marks a plain value with a name that the compiler checks, so that, say, a model's id is not passed
- * for a customer's. Cast once, where a value enters the process.
+ * Gives a plain value a distinct compile-time type, so that a model id cannot be passed where a customer id
+ * is expected. Values are cast once, where they enter the process.
  */
 export type Brand<Value, Name extends string> = Value & { readonly __brand: Name };
--- a/src/base/changeid.ts
+++ b/src/base/changeid.ts
@@ -1,4 +1,4 @@
 import type { Brand } from './brand.js';
 
-/** One change of a document, named by the operator command that makes it. */
+/** Identifies one change of a document. The operator command that makes the change chooses the id. */
 export type ChangeId = Brand<string, 'ChangeId'>;
--- a/src/base/contentid.ts
+++ b/src/base/contentid.ts
@@ -1,4 +1,4 @@
 import type { Brand } from './brand.js';
 
-/** Names what a request asks; the same whenever it comes again, from wherever. */
+/** Identifies the content of a request. Equal requests have the same id, whoever sends them and when. */
 export type ContentId = Brand<string, 'ContentId'>;
--- a/src/base/customerid.ts
+++ b/src/base/customerid.ts
@@ -1,4 +1,4 @@
 import type { Brand } from './brand.js';
 
-/** A customer: one party that calls with its own keys. */
+/** Identifies a customer: an organisation that calls with its own API keys. */
 export type CustomerId = Brand<string, 'CustomerId'>;
--- a/src/base/epoch.ts
+++ b/src/base/epoch.ts
@@ -1,4 +1,4 @@
 import type { Brand } from './brand.js';
 
-/** One term of a planner lease. Higher is later. */
+/** Numbers the terms of the planner lease; a later term has a higher number. */
 export type Epoch = Brand<number, 'Epoch'>;
--- a/src/base/executed.ts
+++ b/src/base/executed.ts
@@ -1,2 +1,2 @@
-/** Whether a request ran. `no` is a promise; `unknown` is the honest answer when nobody can tell. */
+/** Whether a request ran. `no` is guaranteed; `unknown` means that it cannot be determined. */
 export type Executed = 'no' | 'unknown' | 'yes';
--- a/src/base/failureerror.ts
+++ b/src/base/failureerror.ts
@@ -1,6 +1,6 @@
 import type { Failure } from './failure.js';
 
-/** Carries a typed failure where a library asks for an exception. */
+/** Wraps a typed failure for libraries that expect an exception. */
 export class FailureError extends Error {
   readonly failure: Failure;
 
--- a/src/base/hostid.ts
+++ b/src/base/hostid.ts
@@ -1,4 +1,4 @@
 import type { Brand } from './brand.js';
 
-/** A host that runs one process of the system. */
+/** Identifies a host that runs one process of the system. */
 export type HostId = Brand<string, 'HostId'>;
--- a/src/base/incarnation.ts
+++ b/src/base/incarnation.ts
@@ -1,4 +1,4 @@
 import type { Brand } from './brand.js';
 
-/** One life of a sidecar; also its fencing token. Higher is later. */
+/** Numbers the runs of a sidecar process and serves as its fencing token; a later run has a higher number. */
 export type Incarnation = Brand<number, 'Incarnation'>;
--- a/src/base/index.ts
+++ b/src/base/index.ts
@@ -1,7 +1,7 @@
-/** Words that every part shares: time, ids, failures, and the shape of a decision core. */
+/** Types that all modules share: time, ids, failures, and the form of a decision core. */
 export type { AdapterId } from './adapterid.js';
 export type { Brand } from './brand.js';
-export type { Change } from './change.js';
+export type { Transition } from './transition.js';
 export type { ChangeId } from './changeid.js';
 export type { Clock } from './clock.js';
 export type { ContentId } from './contentid.js';
@@ -20,7 +20,7 @@
 export { result } from './result.js';
 export type { Revision } from './revision.js';
 export type { ServiceId } from './serviceid.js';
-export { settle } from './settle.js';
+export { toFailure } from './tofailure.js';
 export type { Step } from './step.js';
 export { systemClock } from './systemclock.js';
 export type { TicketId } from './ticketid.js';
--- a/src/base/keyhash.ts
+++ b/src/base/keyhash.ts
@@ -1,4 +1,4 @@
 import type { Brand } from './brand.js';
 
-/** SHA-256 of a caller's key in lower-case hex: what stands for the key wherever it is kept or compared. */
+/** SHA-256 of a caller's API key in lower-case hex. Only the hash is stored and compared, never the key. */
 export type KeyHash = Brand<string, 'KeyHash'>;
--- a/src/base/kindname.ts
+++ b/src/base/kindname.ts
@@ -1,4 +1,4 @@
 import type { Brand } from './brand.js';
 
-/** A kind of request, as the document names it. */
+/** Name of a request kind, as declared in the service document. */
 export type KindName = Brand<string, 'KindName'>;
--- a/src/base/modelid.ts
+++ b/src/base/modelid.ts
@@ -1,4 +1,4 @@
 import type { Brand } from './brand.js';
 
-/** A model, as callers name it in a request. */
+/** Identifies a model, as callers name it in a request. */
 export type ModelId = Brand<string, 'ModelId'>;
--- a/src/base/ms.ts
+++ b/src/base/ms.ts
@@ -1,2 +1,2 @@
-/** A point in time or a duration, in milliseconds. Field names tell which: `...AtMs` is a point. */
+/** A point in time or a duration, in milliseconds. Names that end in `AtMs` are points in time. */
 export type Ms = number;
--- a/src/base/requestid.ts
+++ b/src/base/requestid.ts
@@ -1,4 +1,4 @@
 import type { Brand } from './brand.js';
 
-/** One request of a caller, through all its attempts. */
+/** Identifies one request of a caller; all its attempts share the id. */
 export type RequestId = Brand<string, 'RequestId'>;
--- a/src/base/result.ts
+++ b/src/base/result.ts
@@ -1,5 +1,5 @@
-// ts-results is CommonJS; this is the one place that knows it.
+// ts-results is a CommonJS module; only this file has to handle that.
 import results from 'ts-results';
 
-/** The library's constructors: `result.Ok(value)` and `result.Err(failure)`. */
+/** Constructors of ts-results: `result.Ok(value)` and `result.Err(failure)`. */
 export const result = { Ok: results.Ok, Err: results.Err };
--- a/src/base/serviceid.ts
+++ b/src/base/serviceid.ts
@@ -1,4 +1,4 @@
 import type { Brand } from './brand.js';
 
-/** A service: what one team owns and describes in one document. */
+/** Identifies a service, which one team owns and describes in one document. */
 export type ServiceId = Brand<string, 'ServiceId'>;
--- a/src/base/step.ts
+++ b/src/base/step.ts
@@ -1,9 +1,9 @@
-import type { Change } from './change.js';
+import type { Transition } from './transition.js';
 import type { Ms } from './ms.js';
 
-/** A decision core: a pure function. The same state, event and time always give the same change. */
+/** A decision core: a pure function from state, event and time to the next state and the effects. */
 export type Step<State, Event, Effect> = (
   state: State,
   event: Event,
   nowMs: Ms,
-) => Change<State, Effect>;
+) => Transition<State, Effect>;
--- a/src/base/systemclock.ts
+++ b/src/base/systemclock.ts
@@ -1,6 +1,6 @@
 import type { Clock } from './clock.js';
 
-/** The clock of the running process. */
+/** The clock of the operating system. */
 export const systemClock: Clock = {
   nowMs: () => performance.now(),
   wallMs: () => Date.now(),
--- a/src/base/ticketid.ts
+++ b/src/base/ticketid.ts
@@ -1,4 +1,4 @@
 import type { Brand } from './brand.js';
 
-/** A run-at-most-once ticket. */
+/** Identifies a ticket, under which a request runs at most once. */
 export type TicketId = Brand<string, 'TicketId'>;
--- a/src/base/upstreamid.ts
+++ b/src/base/upstreamid.ts
@@ -1,4 +1,4 @@
 import type { Brand } from './brand.js';
 
-/** An upstream: one engine or plain service behind one sidecar. */
+/** Identifies an upstream: one model engine or one plain service. */
 export type UpstreamId = Brand<string, 'UpstreamId'>;
--- a/src/base/virtualclock.ts
+++ b/src/base/virtualclock.ts
@@ -1,17 +1,17 @@
 import type { Clock } from './clock.js';
 import type { Ms } from './ms.js';
 
-interface Alarm {
+interface Timer {
   readonly atMs: Ms;
   readonly act: () => void;
 }
 
-/** A clock that moves only when told to, for tests and for experiments in virtual time. */
+/** A clock that advances only on request, for tests and simulations. */
 export class VirtualClock implements Clock {
   private currentMs: Ms = 0;
 
-  /** The earliest last, so that it is taken from the end. */
-  private readonly alarms: Alarm[] = [];
+  /** Sorted by due time, the earliest last, so that the next timer is popped from the end. */
+  private readonly timers: Timer[] = [];
 
   nowMs(): Ms {
     return this.currentMs;
@@ -22,37 +22,37 @@
   }
 
   after(delayMs: Ms, act: () => void): () => void {
-    const alarm = { atMs: this.currentMs + Math.max(0, delayMs), act };
-    this.alarms.splice(this.placeOf(alarm.atMs), 0, alarm);
+    const timer = { atMs: this.currentMs + Math.max(0, delayMs), act };
+    this.timers.splice(this.insertionIndex(timer.atMs), 0, timer);
     return () => {
-      const place = this.alarms.indexOf(alarm);
-      if (place >= 0) this.alarms.splice(place, 1);
+      const place = this.timers.indexOf(timer);
+      if (place >= 0) this.timers.splice(place, 1);
     };
   }
 
-  /** Moves to `untilMs` and calls each due alarm on the way, in order of time. */
+  /** Advances to `untilMs` and calls each timer that falls due, in order of time. */
   advanceTo(untilMs: Ms): void {
-    for (let due = this.nextDue(untilMs); due; due = this.nextDue(untilMs)) {
+    for (let due = this.popDue(untilMs); due; due = this.popDue(untilMs)) {
       this.currentMs = due.atMs;
       due.act();
     }
     this.currentMs = untilMs;
   }
 
-  /** Where an alarm goes that is set now: before all that are due at the same time or earlier. */
-  private placeOf(atMs: Ms): number {
+  /** Returns the index for a new timer: before all timers that are due at the same time or earlier. */
+  private insertionIndex(atMs: Ms): number {
     let low = 0;
-    let high = this.alarms.length;
+    let high = this.timers.length;
     while (low < high) {
       const middle = Math.floor((low + high) / 2);
-      if ((this.alarms[middle] as Alarm).atMs > atMs) low = middle + 1;
+      if ((this.timers[middle] as Timer).atMs > atMs) low = middle + 1;
       else high = middle;
     }
     return low;
   }
 
-  private nextDue(untilMs: Ms): Alarm | undefined {
-    const last = this.alarms.at(-1);
-    return last && last.atMs <= untilMs ? this.alarms.pop() : undefined;
+  private popDue(untilMs: Ms): Timer | undefined {
+    const last = this.timers.at(-1);
+    return last && last.atMs <= untilMs ? this.timers.pop() : undefined;
   }
 }
--- a/src/command/operator/readfile.ts
+++ b/src/command/operator/readfile.ts
@@ -1,12 +1,12 @@
 import { readFileSync } from 'node:fs';
 import type { Result } from 'ts-results';
-import { result, settle, type Failure } from '../../base/index.js';
+import { result, toFailure, type Failure } from '../../base/index.js';
 
 /** Reads a file that the operator names. */
 export function readFile(file: string): Result<string, Failure> {
   try {
     return result.Ok(readFileSync(file, 'utf8'));
   } catch (thrown) {
-    return result.Err(settle('file-unreadable', thrown));
+    return result.Err(toFailure('file-unreadable', thrown));
   }
 }
--- a/src/core/acceptance/stepacceptance.ts
+++ b/src/core/acceptance/stepacceptance.ts
@@ -1,4 +1,4 @@
-import type { Change as Stepped, Revision, Step } from '../../base/index.js';
+import type { Transition as Stepped, Revision, Step } from '../../base/index.js';
 import type { KeyValue } from '../../port/index.js';
 import { chartTransition } from '../chart/index.js';
 import type { AcceptanceEffect } from './acceptanceeffect.js';
--- a/src/core/admission/admission.ts
+++ b/src/core/admission/admission.ts
@@ -1,5 +1,5 @@
 /* eslint no-param-reassign: off -- admission changes its own tables in place: see AdmissionState */
-import type { Change, Ms, Step } from '../../base/index.js';
+import type { Transition, Ms, Step } from '../../base/index.js';
 import type { Kind } from '../document/index.js';
 import type { AdmissionEffect } from './admissioneffect.js';
 import type { AdmissionEvent } from './admissionevent.js';
@@ -141,7 +141,7 @@
   state,
   event,
   nowMs,
-): Change<AdmissionState, AdmissionEffect> => {
+): Transition<AdmissionState, AdmissionEffect> => {
   const handle = HANDLERS[event.type] as (
     state: AdmissionState,
     event: AdmissionEvent,
--- a/src/core/attempt/startattempt.ts
+++ b/src/core/attempt/startattempt.ts
@@ -1,4 +1,4 @@
-import type { Change } from '../../base/index.js';
+import type { Transition } from '../../base/index.js';
 import type { AttemptEffect } from './attempteffect.js';
 import type { AttemptState } from './attemptstate.js';
 import { remainingTimeMs } from './remainingtimems.js';
@@ -9,7 +9,7 @@
 type Start = Pick<AttemptState, 'repeatable' | 'bound' | 'deadlineAtMs'>;
 
 /** Returns the state of a new request and its first effect. */
-export function startAttempt(start: Start, nowMs: number): Change<AttemptState, AttemptEffect> {
+export function startAttempt(start: Start, nowMs: number): Transition<AttemptState, AttemptEffect> {
   const state: AttemptState = {
     ...start,
     phase: 'choosing',
--- a/src/core/attempt/stepattempt.ts
+++ b/src/core/attempt/stepattempt.ts
@@ -1,4 +1,4 @@
-import type { Change, Step } from '../../base/index.js';
+import type { Transition, Step } from '../../base/index.js';
 import { Executed } from '../../wire/index.js';
 import type { AttemptEffect } from './attempteffect.js';
 import type { AttemptEvent } from './attemptevent.js';
@@ -11,7 +11,7 @@
 /** Delay before a request is sent again to an upstream that has failed it. */
 const RETRY_DELAY_MS = 100;
 
-type Changed = Change<AttemptState, AttemptEffect>;
+type Changed = Transition<AttemptState, AttemptEffect>;
 type Handler<Type extends AttemptEvent['type']> = (
   state: AttemptState,
   event: Extract<AttemptEvent, { type: Type }>,
--- a/src/core/drain/stepdrain.ts
+++ b/src/core/drain/stepdrain.ts
@@ -1,4 +1,4 @@
-import type { Change, Ms } from '../../base/index.js';
+import type { Transition, Ms } from '../../base/index.js';
 import { chartTransition } from '../chart/index.js';
 import chart from './drain.chart.json' with { type: 'json' };
 import type { DrainEffect } from './draineffect.js';
@@ -42,7 +42,7 @@
   state: DrainState,
   event: DrainEvent,
   nowMs: Ms,
-): Change<DrainState, DrainEffect> {
+): Transition<DrainState, DrainEffect> {
   const handle = HANDLERS[event.type] as Handler<DrainEvent['type']>;
   let next = handle(state, event);
   const effects: DrainEffect[] = [];
--- a/src/core/fence/stepfence.ts
+++ b/src/core/fence/stepfence.ts
@@ -1,4 +1,4 @@
-import type { Change, Failure, Incarnation, Ms, Revision } from '../../base/index.js';
+import type { Transition, Failure, Incarnation, Ms, Revision } from '../../base/index.js';
 import type { KeyValue } from '../../port/index.js';
 import { chartTransition } from '../chart/index.js';
 import chart from './fence.chart.json' with { type: 'json' };
@@ -12,7 +12,7 @@
 import { readValue } from './readvalue.js';
 import type { UpstreamValue } from './upstreamvalue.js';
 
-type FenceChange = Change<FenceState, FenceEffect>;
+type FenceChange = Transition<FenceState, FenceEffect>;
 
 const INITIAL_RETRY_MS: Ms = 250;
 const MAX_RETRY_MS: Ms = 10_000;
--- a/src/core/frame/stepsequence.ts
+++ b/src/core/frame/stepsequence.ts
@@ -1,4 +1,4 @@
-import type { Change, Step } from '../../base/index.js';
+import type { Transition, Step } from '../../base/index.js';
 import type { Frame } from '../../wire/index.js';
 import type { FrameEffect } from './frameeffect.js';
 import type { Sequence } from './sequence.js';
@@ -11,7 +11,7 @@
 const LATE: readonly FrameEffect[] = [{ type: 'drop', reason: 'late' }];
 const DOUBLED: readonly FrameEffect[] = [{ type: 'drop', reason: 'doubled' }];
 
-function gap(state: Sequence, expected: number, found: number): Change<Sequence, FrameEffect> {
+function gap(state: Sequence, expected: number, found: number): Transition<Sequence, FrameEffect> {
   return { state: { ...state, phase: 'ended' }, effects: [{ type: 'gap', expected, found }] };
 }
 
@@ -19,14 +19,14 @@
   state: Sequence,
   phase: Sequence['phase'],
   dataCount: number,
-): Change<Sequence, FrameEffect> {
+): Transition<Sequence, FrameEffect> {
   const { requestId, attempt, next } = state;
   return { state: { requestId, attempt, next: next + 1, dataCount, phase }, effects: PASS };
 }
 
 /** Handlers of the frame types for a frame in sequence; other types are dropped. */
 const ACCEPT: Readonly<
-  Partial<Record<Body['$case'], (state: Sequence, body: Body) => Change<Sequence, FrameEffect>>>
+  Partial<Record<Body['$case'], (state: Sequence, body: Body) => Transition<Sequence, FrameEffect>>>
 > = {
   start: (state) => pass(state, 'answering', state.dataCount),
   refusal: (state) => pass(state, 'ended', state.dataCount),
--- a/src/core/handover/stephandover.ts
+++ b/src/core/handover/stephandover.ts
@@ -1,4 +1,4 @@
-import type { Change, Ms, RequestId, UpstreamId } from '../../base/index.js';
+import type { Transition, Ms, RequestId, UpstreamId } from '../../base/index.js';
 import { chartTransition } from '../chart/index.js';
 import { assign } from './assign.js';
 import chart from './handover.chart.json' with { type: 'json' };
@@ -8,7 +8,7 @@
 import type { HandOverState } from './handoverstate.js';
 
 type ChartEvent = 'EXPORT' | 'SEND' | 'SETTLE';
-type Changed = Change<HandOverState, HandOverEffect>;
+type Changed = Transition<HandOverState, HandOverEffect>;
 type Handler<Type extends HandOverEvent['type']> = (
   state: HandOverState,
   event: Extract<HandOverEvent, { type: Type }>,
--- a/src/core/idempotency/startmapping.ts
+++ b/src/core/idempotency/startmapping.ts
@@ -1,4 +1,4 @@
-import type { Change, Ms } from '../../base/index.js';
+import type { Transition, Ms } from '../../base/index.js';
 import { refuse } from '../refusal/index.js';
 import type { MappingEffect } from './mappingeffect.js';
 import type { MappingState } from './mappingstate.js';
@@ -14,7 +14,7 @@
 export function startMapping(
   requestHash: string,
   arrivedAtMs: Ms,
-): Change<MappingState, MappingEffect> {
+): Transition<MappingState, MappingEffect> {
   const detail = 'The idempotency key could not be written to the store.';
   const state: MappingState = {
     phase: 'asking',
--- a/src/core/idempotency/stepmapping.ts
+++ b/src/core/idempotency/stepmapping.ts
@@ -1,4 +1,4 @@
-import type { Change, Ms } from '../../base/index.js';
+import type { Transition, Ms } from '../../base/index.js';
 import { Executed } from '../../wire/index.js';
 import { chartTransition } from '../chart/index.js';
 import { refuse } from '../refusal/index.js';
@@ -9,7 +9,7 @@
 import type { MappingState } from './mappingstate.js';
 import { mappingValue } from './mappingvalue.js';
 
-type MappingChange = Change<MappingState, MappingEffect>;
+type MappingChange = Transition<MappingState, MappingEffect>;
 type Handler<Type extends MappingEvent['type']> = (
   state: MappingState,
   event: Extract<MappingEvent, { type: Type }>,
--- a/src/core/member/stepmember.ts
+++ b/src/core/member/stepmember.ts
@@ -1,4 +1,4 @@
-import type { Change, Incarnation, Ms, Step, UpstreamId } from '../../base/index.js';
+import type { Transition, Incarnation, Ms, Step, UpstreamId } from '../../base/index.js';
 import { chartTransition } from '../chart/index.js';
 import chart from './member.chart.json' with { type: 'json' };
 import type { Member } from './member.js';
@@ -170,7 +170,7 @@
   const changes = handle(state, event, nowMs);
   if (changes.size === 0) return { state, effects: [] };
   const members = new Map([...state.members, ...changes]);
-  const change: Change<MemberState, MemberEffect> = {
+  const change: Transition<MemberState, MemberEffect> = {
     state: { members },
     effects: effectsOf(state, changes),
   };
--- a/src/core/mesh/meshchange.ts
+++ b/src/core/mesh/meshchange.ts
@@ -1,6 +1,6 @@
-import type { Change } from '../../base/index.js';
+import type { Transition } from '../../base/index.js';
 import type { MeshEffect } from './mesheffect.js';
 import type { MeshState } from './meshstate.js';
 
 /** The next state, and the effects that the shell executes. */
-export type MeshChange = Change<MeshState, MeshEffect>;
+export type MeshChange = Transition<MeshState, MeshEffect>;
--- a/src/core/planlease/steplease.ts
+++ b/src/core/planlease/steplease.ts
@@ -1,4 +1,4 @@
-import type { Change, Epoch, Ms, Revision, Step } from '../../base/index.js';
+import type { Transition, Epoch, Ms, Revision, Step } from '../../base/index.js';
 import { chartTransition } from '../chart/index.js';
 import chart from './lease.chart.json' with { type: 'json' };
 import type { LeaseEffect } from './leaseeffect.js';
@@ -16,7 +16,7 @@
   | 'LAPSED'
   | 'SUPERSEDED'
   | 'RELEASED';
-type Changed = Change<LeaseState, LeaseEffect>;
+type Changed = Transition<LeaseState, LeaseEffect>;
 type Event<Type> = Extract<LeaseEvent, { type: Type }>;
 
 const next = chartTransition<LeaseState['phase'], ChartEvent>(chart);
--- a/src/core/selfreport/applyselfreport.ts
+++ b/src/core/selfreport/applyselfreport.ts
@@ -11,7 +11,7 @@
   report: SelfReport,
   nowMs: Ms,
 ): ReportedState {
-  const { rate, pauseMs } = report;
+  const { rate, backoffMs: pauseMs } = report;
   const hasRate = rate.type !== 'unsaid' && nowMs >= state.rateAtMs;
   const wasLimited = state.ratePerS !== undefined;
   const isRelevant =
--- a/src/core/ticket/adopt.ts
+++ b/src/core/ticket/adopt.ts
@@ -1,4 +1,4 @@
-import type { Change, CustomerId, Ms, ServiceId } from '../../base/index.js';
+import type { Transition, CustomerId, Ms, ServiceId } from '../../base/index.js';
 import type { TicketEntry } from '../../wire/index.js';
 import { refuse } from '../refusal/index.js';
 import { addRow } from './addrow.js';
@@ -40,7 +40,7 @@
   given: TableState,
   { callId, upstream, incarnation, table }: Adopt,
   nowMs: Ms,
-): Change<TableState, TableEffect> {
+): Transition<TableState, TableEffect> {
   if (given.leaving) {
     const refusal = refuse('upstream-leaving', 'This upstream is draining.');
     return { state: given, effects: [{ type: 'refuse', callId, refusal }] };
--- a/src/core/ticket/begin.ts
+++ b/src/core/ticket/begin.ts
@@ -1,4 +1,4 @@
-import type { Change, Ms } from '../../base/index.js';
+import type { Transition, Ms } from '../../base/index.js';
 import { Executed, type Refusal } from '../../wire/index.js';
 import { refuse } from '../refusal/index.js';
 import { nextPhase } from './nextphase.js';
@@ -41,7 +41,11 @@
 }
 
 /** Handles a request under a ticket: lets it run, replays the recorded outcome, or waits for the running call. */
-export function begin(state: TableState, event: Begin, nowMs: Ms): Change<TableState, TableEffect> {
+export function begin(
+  state: TableState,
+  event: Begin,
+  nowMs: Ms,
+): Transition<TableState, TableEffect> {
   const { callId, ticket, requestHash } = event;
   const row = state.rows.get(ticket);
   const refusal = row ? refuseMisuse(row, event) : missing(state, ticket);
--- a/src/core/ticket/finish.ts
+++ b/src/core/ticket/finish.ts
@@ -1,4 +1,4 @@
-import type { Change, Ms } from '../../base/index.js';
+import type { Transition, Ms } from '../../base/index.js';
 import { makeRoom } from './makeroom.js';
 import { nextPhase } from './nextphase.js';
 import { putRow } from './putrow.js';
@@ -43,7 +43,7 @@
   state: TableState,
   { ticket, end }: Finish,
   nowMs: Ms,
-): Change<TableState, TableEffect> {
+): Transition<TableState, TableEffect> {
   const row = state.rows.get(ticket);
   const phase = row && nextPhase(row.phase, EVENTS[end.type]);
   if (!row || !phase) return { state, effects: [] };
--- a/src/core/ticket/issue.ts
+++ b/src/core/ticket/issue.ts
@@ -1,4 +1,4 @@
-import type { Change, Ms } from '../../base/index.js';
+import type { Transition, Ms } from '../../base/index.js';
 import { refuse } from '../refusal/index.js';
 import { addRow } from './addrow.js';
 import { makeRoom } from './makeroom.js';
@@ -19,7 +19,7 @@
   type: string,
   detail: string,
   retryAfterMs: Ms,
-): Change<TableState, TableEffect> {
+): Transition<TableState, TableEffect> {
   const refusal = refuse(type, detail, { retryAfterMs });
   return { state, effects: [{ type: 'refuse', callId, refusal }] };
 }
@@ -29,8 +29,9 @@
   given: TableState,
   { callId, customer, service, validMs, secret }: Issue,
   nowMs: Ms,
-): Change<TableState, TableEffect> {
-  if (given.leaving) return refused(given, callId, 'upstream-leaving', 'This upstream is draining.', 0);
+): Transition<TableState, TableEffect> {
+  if (given.leaving)
+    return refused(given, callId, 'upstream-leaving', 'This upstream is draining.', 0);
   const { maxValidMs, tableBytes } = given.limits;
   const validityMs = validMs > 0 ? Math.min(validMs, maxValidMs) : maxValidMs;
   const row: TicketRow = {
--- a/src/core/ticket/start.ts
+++ b/src/core/ticket/start.ts
@@ -1,4 +1,4 @@
-import type { Change, Ms } from '../../base/index.js';
+import type { Transition, Ms } from '../../base/index.js';
 import { refuse } from '../refusal/index.js';
 import type { TableEffect } from './tableeffect.js';
 import type { TableEvent } from './tableevent.js';
@@ -11,7 +11,7 @@
   state: TableState,
   { callId, ticket }: Start,
   nowMs: Ms,
-): Change<TableState, TableEffect> {
+): Transition<TableState, TableEffect> {
   const row = state.rows.get(ticket);
   if (row?.phase === 'running' && nowMs < row.expiresAtMs) {
     return { state, effects: [{ type: 'go', callId }] };
--- a/src/core/ticket/steptable.ts
+++ b/src/core/ticket/steptable.ts
@@ -1,4 +1,4 @@
-import type { Change, Ms } from '../../base/index.js';
+import type { Transition, Ms } from '../../base/index.js';
 import { adopt } from './adopt.js';
 import { begin } from './begin.js';
 import { finish } from './finish.js';
@@ -15,7 +15,7 @@
     state: TableState,
     event: Extract<TableEvent, { type: Type }>,
     nowMs: Ms,
-  ) => Change<TableState, TableEffect>;
+  ) => Transition<TableState, TableEffect>;
 };
 
 const HANDLERS: EventHandlers = {
@@ -33,6 +33,6 @@
   state: TableState,
   event: TableEvent,
   nowMs: Ms,
-): Change<TableState, TableEffect> {
+): Transition<TableState, TableEffect> {
   return HANDLERS[event.type](state, event as never, nowMs);
 }
--- a/src/core/ticket/sweep.ts
+++ b/src/core/ticket/sweep.ts
@@ -1,4 +1,4 @@
-import type { Change, Ms } from '../../base/index.js';
+import type { Transition, Ms } from '../../base/index.js';
 import { rowBytes } from './rowbytes.js';
 import type { TableEffect } from './tableeffect.js';
 import type { TableState } from './tablestate.js';
@@ -28,7 +28,7 @@
 }
 
 /** Drops the tickets whose second of expiry has passed. */
-export function sweep(state: TableState, nowMs: Ms): Change<TableState, TableEffect> {
+export function sweep(state: TableState, nowMs: Ms): Transition<TableState, TableEffect> {
   const nowS = Math.floor(nowMs / MS_PER_S);
   if (nowS <= state.sweptUntilS) return { state, effects: [] };
   let { usedBytes } = state;
--- a/src/direct/run/attempt.ts
+++ b/src/direct/run/attempt.ts
@@ -112,7 +112,7 @@
     const { fleet, poison, gate, clock } = serving;
     const nowMs = clock.nowMs();
     if (head.load) fleet.recordLoad(state, head.load, nowMs);
-    if (head.said) gate.onAnswer(state.info, head.said);
+    if (head.selfReport) gate.onAnswer(state.info, head.selfReport);
     if (head.status !== WRONG_UPSTREAM_STATUS) poison.answered(state.info.id, this.sentAtMs);
     if (head.isNotRun) {
       this.notRun(head);
--- a/src/entry/createapp.ts
+++ b/src/entry/createapp.ts
@@ -1,7 +1,7 @@
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { H3, fromNodeHandler, type NodeHandler } from 'h3';
 import { nanoid } from 'nanoid';
-import { settle, type RequestId } from '../base/index.js';
+import { toFailure, type RequestId } from '../base/index.js';
 import { refuse } from '../core/refusal/index.js';
 import { Executed } from '../wire/index.js';
 import type { EntryContext } from './entrycontext.js';
@@ -16,7 +16,7 @@
     try {
       await handler(context, { requestId, request, response });
     } catch (thrown) {
-      const { type, detail } = settle('internal', thrown);
+      const { type, detail } = toFailure('internal', thrown);
       context.log.error('request handler threw an exception; the caller gets an internal error', {
         requestId,
         detail,
--- a/src/index.ts
+++ b/src/index.ts
@@ -1,4 +1,4 @@
-/** tarragonstile as a library: the daemons, the ports that they stand on, and the decision cores. */
+/** Public API of the library: both daemons, their settings, the ports, and the service document. */
 export { entrySchema, startEntry, type EntrySettings } from './entry/index.js';
 export { sidecarSchema, startSidecar, type SidecarSettings } from './sidecar/index.js';
 export { loadSettings } from './shell/settings/index.js';
--- a/src/port/audit.ts
+++ b/src/port/audit.ts
@@ -1,6 +1,6 @@
 import type { Ms } from '../base/index.js';
 
-/** Where each act that changes something is written down. */
+/** The audit trail, with one entry for each act that changes something. */
 export interface Audit {
   write(entry: {
     readonly wallMs: Ms;
--- a/src/port/cacheevents.ts
+++ b/src/port/cacheevents.ts
@@ -1,6 +1,6 @@
-/** Prefixes that an engine's cache took or dropped. Late, and with gaps: a hint, never a fact. */
+/** Prompt prefixes that an engine's cache stored or evicted. A hint only: events arrive late and can be lost. */
 export interface CacheEvents {
-  /** Sequence of the last event; a jump from what was asked for shows a gap. */
+  /** Sequence number of the last event. If it does not follow from the requested number, events are missing. */
   readonly lastSequence: number;
   readonly events: readonly {
     readonly sequence: number;
--- a/src/port/changefeed.ts
+++ b/src/port/changefeed.ts
@@ -4,14 +4,17 @@
 import type { KeyValueStore } from './keyvaluestore.js';
 import type { StoreFailure } from './storefailure.js';
 
-/** One change of a key. */
+/** A change of one key. */
 type KeyChange =
   | { readonly type: 'put'; readonly item: KeyValue }
   | { readonly type: 'deleted'; readonly key: string; readonly revision: Revision };
 
-/** A store whose changes are asked for, each question waiting until there are some. */
+/** A store whose changes are read by long polling instead of a watch. */
 export interface ChangeFeed extends Omit<KeyValueStore, 'watch'> {
-  /** Changes after a revision, at most `waitMs` later; `store-compacted` if they are forgotten. */
+  /**
+   * Returns the changes after a revision. Waits up to `waitMs` for the first one. Fails with
+   * `store-compacted` if the store no longer has them.
+   */
   changes(
     prefix: string,
     afterRevision: Revision,
--- a/src/port/enginefailure.ts
+++ b/src/port/enginefailure.ts
@@ -1,6 +1,6 @@
 import type { Executed, Failure } from '../base/index.js';
 
-/** Why an upstream gave no (whole) answer, and whether the request may have run. */
+/** Why an upstream gave no complete answer, and whether the request may have run. */
 export interface EngineFailure extends Failure {
   readonly type:
     | 'upstream-unreachable'
--- a/src/port/enginereport.ts
+++ b/src/port/enginereport.ts
@@ -1,14 +1,14 @@
 import type { AdapterId, Incarnation, ModelId, Ms } from '../base/index.js';
 
-/** What an engine tells of itself, with a lag. */
+/** The state that an engine reports of itself. It lags behind the engine. */
 export interface EngineReport {
-  /** Changes when the engine itself restarts: all its memory is empty then. */
+  /** Changes when the engine restarts. Its memory is empty after a restart. */
   readonly engineId: string;
-  /** Rises with every report. */
+  /** Increases with every report. */
   readonly sequence: number;
-  /** How old the report's contents are. */
+  /** Age of the reported state. */
   readonly ageMs: Ms;
-  /** Orders that are done, or refused for good, in the reported state; the latest hundred or more. */
+  /** Orders that are done or finally refused in the reported state; at least the latest 100. */
   readonly settledOrderIds: readonly string[];
   readonly highestFencingToken: Incarnation;
   readonly usedBytes: number;
--- a/src/port/generation.ts
+++ b/src/port/generation.ts
@@ -1,6 +1,6 @@
 import type { AdapterId, ModelId, RequestId } from '../base/index.js';
 
-/** A request for an engine. */
+/** A generation request to an engine. */
 export interface Generation {
   readonly requestId: RequestId;
   readonly attempt: number;
@@ -10,9 +10,9 @@
   readonly streaming: boolean;
   readonly model: ModelId;
   readonly adapter?: AdapterId;
-  /** Higher goes first in the engine. */
+  /** The engine runs higher values first. */
   readonly priority: number;
-  /** What an earlier attempt has already delivered. */
+  /** The part of the answer that earlier attempts have delivered. */
   readonly continuation?: {
     readonly text: string;
     readonly tokenCount: number;
--- a/src/port/hostlist.ts
+++ b/src/port/hostlist.ts
@@ -1,14 +1,14 @@
 import type { Result } from 'ts-results';
 import type { Failure, HostId } from '../base/index.js';
 
-/** The platform's list of hosts. It lags behind the truth. */
+/** The platform's list of hosts. It lags behind the actual state. */
 export interface HostList {
   read(): Promise<
     Result<
       readonly {
         readonly id: HostId;
         readonly role: 'entry' | 'sidecar';
-        /** IP number and port of the process's gRPC listener. */
+        /** IP address and port of the process's gRPC listener. */
         readonly address: string;
         readonly availabilityZone: string;
         readonly region: string;
--- a/src/port/index.ts
+++ b/src/port/index.ts
@@ -1,4 +1,4 @@
-/** The ports: one interface for each thing outside the process. Drivers live in src/shell. */
+/** The ports: one interface for each system outside the process. Their drivers are in src/shell. */
 export type { AnswerStream } from './answerstream.js';
 export type { Audit } from './audit.js';
 export type { CacheEvents } from './cacheevents.js';
--- a/src/port/keyvalue.ts
+++ b/src/port/keyvalue.ts
@@ -1,6 +1,6 @@
 import type { Revision } from '../base/index.js';
 
-/** One key of the store, as read. */
+/** One key of the store with its value, as read. */
 export interface KeyValue {
   readonly key: string;
   readonly value: string;
--- a/src/port/log.ts
+++ b/src/port/log.ts
@@ -1,4 +1,4 @@
-/** Structured log. `fields` always carry `requestId` where a request is meant. */
+/** Structured log. Messages about a request always have `requestId` in `fields`. */
 export interface Log {
   info(message: string, fields?: Readonly<Record<string, unknown>>): void;
   warn(message: string, fields?: Readonly<Record<string, unknown>>): void;
--- a/src/port/metrics.ts
+++ b/src/port/metrics.ts
@@ -1,4 +1,4 @@
-/** Counters, gauges and histograms. Each name is listed with its unit in docs/METRICS.md. */
+/** Counters, gauges and histograms. docs/METRICS.md lists each name with its unit. */
 export interface Metrics {
   count(name: string, value?: number, tags?: Readonly<Record<string, string>>): void;
   gauge(name: string, value: number, tags?: Readonly<Record<string, string>>): void;
--- a/src/port/order.ts
+++ b/src/port/order.ts
@@ -1,10 +1,10 @@
 import type { AdapterId, Incarnation, ModelId } from '../base/index.js';
 
-/** What an engine can be ordered to do. */
+/** An order to an engine: load or unload a model or adapter, or change its role. */
 export interface Order {
-  /** Names the order: an engine does an order with the same id at most once. */
+  /** Idempotency key: an engine executes an order id at most once. */
   readonly orderId: string;
-  /** The fencing token. An engine that checks refuses a lower one than it has seen. */
+  /** Engines that check fencing tokens refuse an order with a lower token than one they have seen. */
   readonly fencingToken: Incarnation;
   readonly action: 'load-model' | 'unload-model' | 'load-adapter' | 'unload-adapter' | 'set-role';
   readonly model?: ModelId;
--- a/src/port/plainservice.ts
+++ b/src/port/plainservice.ts
@@ -3,7 +3,7 @@
 import type { AnswerStream } from './answerstream.js';
 import type { EngineFailure } from './enginefailure.js';
 
-/** A plain HTTP service beside the engines. */
+/** A plain HTTP service: an upstream that is not a model engine. */
 export interface PlainService {
   call(
     call: {
--- a/src/port/selfreport.ts
+++ b/src/port/selfreport.ts
@@ -1,21 +1,21 @@
 import type { Ms } from '../base/index.js';
 
-/** What an answer's head says of how many requests its upstream takes. */
-type RateWord =
-  /** So many requests a second from all processes together. */
+/** Request rate that an upstream accepts, as stated in the head of an answer. */
+type ReportedRate =
+  /** At most `perS` requests per second, summed over all processes that send. */
   | { readonly type: 'limited'; readonly perS: number }
-  /** Whatever comes. */
+  /** No limit. */
   | { readonly type: 'unlimited' }
-  /** The answer cannot tell: what was known before holds on. */
+  /** The answer says nothing about a limit: the last known state stays valid. */
   | { readonly type: 'unsaid' };
 
-/** What an upstream says of itself in the head of an answer, beside its load. */
+/** State, other than load, that an upstream reports of itself in the head of an answer. */
 export interface SelfReport {
-  readonly rate: RateWord;
-  /** It ends soon and takes no new work. */
+  readonly rate: ReportedRate;
+  /** True if the upstream stops soon and accepts no new requests. */
   readonly isLeaving: boolean;
-  /** It wants nothing from this process for so long; absent where it does not say so. */
-  readonly pauseMs?: Ms;
-  /** Fields that could not be read, with what stood there. */
+  /** Backoff: how long this process must send nothing to the upstream; absent if none is stated. */
+  readonly backoffMs?: Ms;
+  /** Header fields that could not be parsed, with their values. */
   readonly unreadable: readonly string[];
 }
--- a/src/port/storefailure.ts
+++ b/src/port/storefailure.ts
@@ -1,8 +1,8 @@
 import type { Failure } from '../base/index.js';
 
 /**
- * Why a call to the store gave no answer. After `store-outcome-unknown` a write may or may not have
- * taken effect: read back, never write again blindly. After the other types it did not.
+ * Why a call to the store failed. After `store-outcome-unknown` a write may or may not have taken effect:
+ * read the key again before another write. After the other types it has not taken effect.
  */
 export interface StoreFailure extends Failure {
   readonly type:
@@ -12,6 +12,6 @@
     | 'store-compacted'
     /** The lease that the write names has lapsed or was revoked. */
     | 'store-lease-lapsed'
-    /** The store takes no such request, for example because the value is too large. */
+    /** The store rejected the request, for example because the value is too large. */
     | 'store-refused';
 }
--- a/src/port/upstreamlink.ts
+++ b/src/port/upstreamlink.ts
@@ -1,59 +1,62 @@
 import type { CustomerId, ModelId, Ms, RequestId, UpstreamId } from '../base/index.js';
 import type { UpstreamReceiver } from './upstreamreceiver.js';
 
-/** A caller's request as it goes to an upstream. */
+/** A caller's request in the form sent to an upstream. */
 interface UpstreamCall {
   readonly upstream: UpstreamId;
   readonly address: string;
   readonly maxConnections: number;
   readonly requestId: RequestId;
   readonly method: string;
-  /** Path with its query. */
+  /** Path and query. */
   readonly path: string;
-  /** The caller's headers that go on: alternates names and values. */
+  /** The caller's headers to forward, as alternating names and values. */
   readonly headers: readonly string[];
   readonly body: Buffer;
-  /** Whom the request's key belongs to. */
+  /** Owner of the API key of the request. */
   readonly customer?: CustomerId;
-  /** The caller's own credential, where the configuration knows no keys. */
+  /** The caller's own credential, forwarded if the configuration lists no keys. */
   readonly authorization?: string;
-  /** How long the upstream may work on it. */
+  /** Time that the upstream has for the request. */
   readonly deadlineMs: Ms;
   /** 0 is the most urgent, 9 the least. */
   readonly priority: number;
-  /** Id of the last event that the caller has, where a stream goes on. */
+  /** Id of the last event that the caller received; set if a stream is continued. */
   readonly resumeAfter?: string;
-  /** Version of the weights that a continued stream needs. */
+  /** Version of the weights that a continued stream requires. */
   readonly weightsVersion?: string;
-  /** Asked right before the first byte leaves, maybe after a connection has opened; if it says no, none does. */
+  /**
+   * Called right before the first byte is sent, possibly after a connection was opened. If it returns false,
+   * nothing is sent.
+   */
   readonly mayLeave: () => boolean;
 }
 
-/** A request on its way. */
-interface UpstreamSent {
-  /** False as long as not one byte of it has left this process. */
+/** A request that was passed to the link. */
+interface SentRequest {
+  /** False until the first byte of the request has left this process. */
   readonly hasLeft: boolean;
   cancel(): void;
   resume(): void;
 }
 
-/** An order about weights. */
+/** An order to load or unload a model or an adapter. */
 interface UpstreamOrder {
   readonly upstream: UpstreamId;
   readonly address: string;
   readonly action: 'load' | 'unload';
   readonly model: ModelId;
   readonly adapter?: string;
-  /** The order is void if the upstream has accepted another number of orders. */
+  /** The upstream rejects the order if its count of accepted orders differs from this number. */
   readonly expectedOrderCount: number;
   readonly holder: string;
   readonly fencingToken: number;
 }
 
-/** What an upstream said to an order. */
+/** An upstream's reply to an order. */
 type OrderOutcome =
   | 'accepted'
-  /** Nothing is left to do: it holds already, or was done at once. */
+  /** Nothing is left to do: the state was reached before, or the order was carried out at once. */
   | 'done'
   | 'conflict'
   | 'fenced'
@@ -62,11 +65,11 @@
   | 'unsent'
   | 'unknown';
 
-/** An upstream's own word on what it holds, some hundred ms old. */
+/** An upstream's report of its own state. It can be some hundred ms old. */
 interface UpstreamReport {
-  /** Unix time of its start; undefined where it does not tell. */
+  /** Unix time of the upstream's start; undefined if it does not report one. */
   readonly startedAtMs?: Ms;
-  /** Orders that it has accepted since. */
+  /** Number of orders accepted since its start. */
   readonly orderCount: number;
   readonly isBusy: boolean;
   readonly models: ReadonlyMap<
@@ -75,17 +78,17 @@
   >;
 }
 
-/** Reaches upstreams without a sidecar. */
+/** Connections to upstreams that have no sidecar. */
 export interface UpstreamLink {
-  /** Undefined if all connections that this process may have there are in use. */
-  send(call: UpstreamCall, receiver: UpstreamReceiver): UpstreamSent | undefined;
-  /** `mayLeave` is asked right before the first byte leaves; if it says no, the order is unsent. */
+  /** Sends a request. Returns undefined if all connections that this process may open there are in use. */
+  send(call: UpstreamCall, receiver: UpstreamReceiver): SentRequest | undefined;
+  /** Calls `mayLeave` right before the first byte is sent; if it returns false, the outcome is `unsent`. */
   order(order: UpstreamOrder, timeoutMs: Ms, mayLeave: () => boolean): Promise<OrderOutcome>;
-  /** What the upstream itself says that it holds; undefined without an answer. */
+  /** Reads the upstream's report; undefined if it does not answer. */
   report(upstream: UpstreamId, address: string, timeoutMs: Ms): Promise<UpstreamReport | undefined>;
-  /** Closes all connections to an address whose process has ended; requests that run there fail. */
+  /** Closes all connections to an address whose process has ended. Requests in flight there fail. */
   drop(address: string): void;
-  /** Closes idle connections to addresses other than these; requests that run there go on. */
+  /** Closes idle connections to all other addresses. Requests in flight there continue. */
   keep(addresses: ReadonlySet<string>): void;
   close(): void;
 }
--- a/src/port/upstreamreceiver.ts
+++ b/src/port/upstreamreceiver.ts
@@ -1,40 +1,40 @@
 import type { Failure } from '../base/index.js';
 import type { SelfReport } from './selfreport.js';
 
-/** What an upstream's answer says before its body. */
+/** Head of an upstream's answer. */
 interface UpstreamHead {
   readonly status: number;
-  /** Alternates names and values; only what a caller may see. */
+  /** Alternating names and values; only headers that may be passed to the caller. */
   readonly headers: readonly string[];
-  /** True if the upstream states that it did not run the request. */
+  /** True if the upstream states that the request was not run. */
   readonly isNotRun: boolean;
-  /** True if the whole head shows that this is the upstream's answer to this request. */
-  readonly isOwn: boolean;
-  /** False if the answer ends with its connection: nothing shows then that it is whole. */
+  /** True if the head proves that this is the upstream's answer to this request. */
+  readonly isForRequest: boolean;
+  /** False if the end of the connection ends the answer: a truncated answer cannot be detected then. */
   readonly hasLength: boolean;
-  /** Requests that run and wait there, where it says. */
+  /** Numbers of running and waiting requests at the upstream, if it reports them. */
   readonly load?: { readonly running: number; readonly waiting: number };
   readonly weightsVersion?: string;
-  /** What the upstream says of itself; absent where another start than the one that was asked answers. */
-  readonly said?: SelfReport;
+  /** The upstream's report of its own state; absent if the answer is from another start of the upstream. */
+  readonly selfReport?: SelfReport;
 }
 
-/** Why no whole answer came. */
+/** Why there was no complete answer. */
 interface UpstreamLinkFailure extends Failure {
   readonly type:
     | 'upstream-unreachable'
     | 'upstream-lost'
     | 'upstream-wrong-answer'
-    /** Its sender no longer wanted it to leave: this says nothing of the upstream. */
+    /** The sender withdrew the request before it was sent; the upstream is not at fault. */
     | 'request-withheld';
-  /** True unless not one byte of the request left this process. */
+  /** False only if no byte of the request has left this process. */
   readonly mayHaveRun: boolean;
 }
 
-/** Takes an answer. */
+/** Receives an answer. */
 export interface UpstreamReceiver {
   head(head: UpstreamHead): void;
-  /** Returns false to stop the flow until `resume`. */
+  /** Returns false to pause the answer until `resume` is called. */
   data(chunk: Buffer): boolean;
   end(): void;
   failed(failure: UpstreamLinkFailure): void;
--- a/src/port/watchevent.ts
+++ b/src/port/watchevent.ts
@@ -2,7 +2,7 @@
 import type { KeyValue } from './keyvalue.js';
 import type { StoreFailure } from './storefailure.js';
 
-/** What a watch tells. After `ended` the watch is over and has to be opened again. */
+/** Event of a watch. After `ended` the watch is closed and has to be opened again. */
 export type WatchEvent =
   | { readonly type: 'put'; readonly item: KeyValue }
   | { readonly type: 'deleted'; readonly key: string; readonly revision: Revision }
--- a/src/port/weightstore.ts
+++ b/src/port/weightstore.ts
@@ -1,11 +1,11 @@
 import type { Ms } from '../base/index.js';
 
-/** What the system may assume of the rate-limited store of weights. Engines read it themselves. */
+/** Limits of the rate-limited store of model weights. Engines read from it directly. */
 export interface WeightStore {
-  /** Loads that may begin in a second, over all upstreams of the deployment. */
+  /** Loads that may start per second, over all upstreams of the deployment. */
   readonly loadsPerSecond: number;
-  /** Loads that run at full speed side by side. */
+  /** Loads that can run in parallel at full speed. */
   readonly parallelLoads: number;
-  /** Expected time to load so many bytes when the store is not crowded. */
+  /** Expected time to load `sizeBytes` while the store is not congested. */
   loadMs(sizeBytes: number): Ms;
 }
--- a/src/shell/clock/openboottime.ts
+++ b/src/shell/clock/openboottime.ts
@@ -1,6 +1,6 @@
 import { createRequire } from 'node:module';
 import type * as Koffi from 'koffi';
-import { settle, type Ms } from '../../base/index.js';
+import { toFailure, type Ms } from '../../base/index.js';
 import type { Log } from '../../port/index.js';
 
 /** Linux's id of the clock that counts time since the boot, with the time that the host was suspended. */
@@ -31,7 +31,7 @@
       return seconds * MS_PER_S + nanoseconds / NS_PER_MS;
     };
   } catch (thrown) {
-    const { detail } = settle('clock-unavailable', thrown);
+    const { detail } = toFailure('clock-unavailable', thrown);
     log.error('no clock that counts suspension', { detail });
     return undefined;
   }
--- a/src/shell/entries/askentries.ts
+++ b/src/shell/entries/askentries.ts
@@ -1,5 +1,5 @@
 import { request } from 'undici';
-import { settle, type Ms } from '../../base/index.js';
+import { toFailure, type Ms } from '../../base/index.js';
 import type { EntryReport } from './entryreport.js';
 import type { EntryStatus } from './entrystatus.js';
 
@@ -15,7 +15,7 @@
     }
     return { type: 'unreachable', url, detail: `answered ${answer.statusCode}` };
   } catch (thrown) {
-    return { type: 'unreachable', url, detail: settle('entry-unreachable', thrown).detail };
+    return { type: 'unreachable', url, detail: toFailure('entry-unreachable', thrown).detail };
   }
 }
 
--- a/src/shell/entries/explainmodel.ts
+++ b/src/shell/entries/explainmodel.ts
@@ -1,5 +1,5 @@
 import { request } from 'undici';
-import { settle, type Failure, type Ms } from '../../base/index.js';
+import { toFailure, type Failure, type Ms } from '../../base/index.js';
 import type { Explanation } from './explanation.js';
 
 const TIMEOUT_MS: Ms = 2000;
@@ -21,7 +21,7 @@
     const detail = `answered ${answer.statusCode}`;
     return { type: 'unreachable', url, failure: { type: 'entry-unreachable', detail } };
   } catch (thrown) {
-    return { type: 'unreachable', url, failure: settle('entry-unreachable', thrown) };
+    return { type: 'unreachable', url, failure: toFailure('entry-unreachable', thrown) };
   }
 }
 
--- a/src/shell/hosts/httphostlist.ts
+++ b/src/shell/hosts/httphostlist.ts
@@ -1,7 +1,7 @@
 import { Ajv } from 'ajv';
 import type { Result } from 'ts-results';
 import { fetch } from 'undici';
-import { result, settle, type Failure } from '../../base/index.js';
+import { result, toFailure, type Failure } from '../../base/index.js';
 import type { HostList } from '../../port/index.js';
 import type { HostListSettings } from './hostlistsettings.js';
 
@@ -48,7 +48,7 @@
       this.last = hosts as Hosts;
       return result.Ok(this.last);
     } catch (thrown) {
-      return result.Err(settle('host-list-unreadable', thrown));
+      return result.Err(toFailure('host-list-unreadable', thrown));
     }
   }
 
--- a/src/shell/settings/loadsettings.ts
+++ b/src/shell/settings/loadsettings.ts
@@ -2,7 +2,7 @@
 import { Ajv, type JSONSchemaType } from 'ajv';
 import { parse, parseTree, printParseErrorCode, type ParseError } from 'jsonc-parser';
 import type { Result } from 'ts-results';
-import { result, settle } from '../../base/index.js';
+import { result, toFailure } from '../../base/index.js';
 import { describeInvalid, locate, position } from '../../core/text/index.js';
 import { formats } from './formats.js';
 import type { SettingsFailure } from './settingsfailure.js';
@@ -20,7 +20,7 @@
     text = readFileSync(file, 'utf8');
   } catch (thrown) {
     return result.Err({
-      ...settle('settings-unreadable', thrown),
+      ...toFailure('settings-unreadable', thrown),
       type: 'settings-unreadable',
       file,
     });
--- a/src/shell/tls/readkeys.ts
+++ b/src/shell/tls/readkeys.ts
@@ -1,7 +1,7 @@
 import { readFileSync } from 'node:fs';
 import { createSecureContext } from 'node:tls';
 import type { Result } from 'ts-results';
-import { result, settle, type Failure } from '../../base/index.js';
+import { result, toFailure, type Failure } from '../../base/index.js';
 import type { KeyMaterial } from './keymaterial.js';
 import type { KeySettings } from './keysettings.js';
 
@@ -15,6 +15,6 @@
     createSecureContext({ cert: certificate, key: privateKey, ca: caCertificate });
     return result.Ok({ certificate, privateKey, caCertificate });
   } catch (thrown) {
-    return result.Err(settle('keys-unusable', thrown));
+    return result.Err(toFailure('keys-unusable', thrown));
   }
 }
--- a/src/sidecar/admission/index.ts
+++ b/src/sidecar/admission/index.ts
@@ -1,3 +1,3 @@
-/** The sidecar's admission: the core of src/core/admission behind the calls of the request path. */
+/** Admission control of the sidecar: the shell around src/core/admission. */
 export { policyOf } from './policyof.js';
 export { QueueAdmission } from './queueadmission.js';
--- a/src/sidecar/admission/modelwatch.ts
+++ b/src/sidecar/admission/modelwatch.ts
@@ -2,44 +2,44 @@
 import type { AdmissionEvent } from '../../core/admission/index.js';
 import type { Residency } from '../part/index.js';
 
-const LOOK_EVERY_MS = 50;
+const CHECK_INTERVAL_MS = 50;
 
-/** Tells admission which models are being loaded, as long as requests wait for them. */
+/** Reports to admission the models that are being loaded, until they are ready or absent. */
 export class ModelWatch {
   private readonly loading = new Set<string>();
 
-  private stopLooking: (() => void) | undefined;
+  private cancelCheck: (() => void) | undefined;
 
   constructor(
     private readonly residency: Residency,
     private readonly clock: Clock,
-    private readonly tell: (event: AdmissionEvent) => void,
+    private readonly notify: (event: AdmissionEvent) => void,
   ) {}
 
-  /** Looks at the model of a request that is about to be offered. */
-  look(model: string): void {
+  /** Called before a request is offered: starts to watch its model if that is being loaded. */
+  checkModel(model: string): void {
     if (!model || this.loading.has(model) || this.phaseOf(model) !== 'loading') return;
     this.loading.add(model);
-    this.tell({ type: 'model', model, phase: 'loading', readyInMs: this.readyInMs(model) });
-    this.stopLooking ??= this.clock.after(LOOK_EVERY_MS, () => this.lookAgain());
+    this.notify({ type: 'model', model, phase: 'loading', readyInMs: this.readyInMs(model) });
+    this.cancelCheck ??= this.clock.after(CHECK_INTERVAL_MS, () => this.recheck());
   }
 
   stop(): void {
-    this.stopLooking?.();
+    this.cancelCheck?.();
   }
 
-  private lookAgain(): void {
-    this.stopLooking = undefined;
+  private recheck(): void {
+    this.cancelCheck = undefined;
     for (const model of [...this.loading]) {
       const phase = this.phaseOf(model);
       if (phase === 'loading') continue;
       this.loading.delete(model);
-      this.tell({ type: 'model', model, phase, readyInMs: 0 });
-      // From now on the pin decides, and it knows more than an absence that admission remembers.
-      if (phase === 'absent') this.tell({ type: 'model', model, phase: 'ready', readyInMs: 0 });
+      this.notify({ type: 'model', model, phase, readyInMs: 0 });
+      // Clears the absence in admission. For later requests the pin decides, which sees the current state.
+      if (phase === 'absent') this.notify({ type: 'model', model, phase: 'ready', readyInMs: 0 });
     }
     if (this.loading.size === 0) return;
-    this.stopLooking = this.clock.after(LOOK_EVERY_MS, () => this.lookAgain());
+    this.cancelCheck = this.clock.after(CHECK_INTERVAL_MS, () => this.recheck());
   }
 
   private readyInMs(model: string): Ms {
--- a/src/sidecar/admission/queueadmission.ts
+++ b/src/sidecar/admission/queueadmission.ts
@@ -17,34 +17,35 @@
 import { ModelWatch } from './modelwatch.js';
 import { PaceMeter } from './pacemeter.js';
 
-const PACE_EVERY_MS = 500;
-/** Within this time a request that made room is offered again, if at all. */
-const AGAIN_WITHIN_MS = 1000;
+const PACE_INTERVAL_MS = 500;
+/** A pre-empted request is offered again within this time, or never. */
+const REOFFER_WINDOW_MS = 1000;
 
 const DETAILS = {
-  'deadline-unmeetable': 'The deadline cannot be met behind the work that waits here.',
-  'queue-full': 'As many requests wait here as may.',
-  'model-absent': 'The model is not in memory here and will not be in time.',
+  'deadline-unmeetable': 'The deadline cannot be met behind the requests that are queued here.',
+  'queue-full': 'The queue of this upstream is full.',
+  'model-absent': 'The model is not loaded here and will not be loaded before the deadline.',
 } as const;
 
-/** What the engine is told of a kind's priority. */
+/** Priority at the engine for each priority of a request kind. */
 const ENGINE_PRIORITY: Readonly<Record<Kind['priority'], number>> = {
   urgent: 2,
   normal: 1,
   background: 0,
 };
 
+/** Outcome of an offer: a slot, or a refusal. */
 type Place = Result<Slot, Refusal>;
 
-/** A request between its offer and its end. */
-interface Held {
+/** A request from its offer to its end: queued or running. */
+interface ActiveRequest {
   readonly head: RequestHead;
   readonly offeredAtMs: Ms;
   readonly settle: (place: Place) => void;
   readonly preempted: AbortController;
 }
 
-/** Parts that admission is built from. */
+/** Dependencies and initial policy of the admission. */
 interface QueueAdmissionOptions {
   readonly clock: Clock;
   readonly metrics: Metrics;
@@ -52,14 +53,14 @@
   readonly policy: AdmissionPolicy;
 }
 
-/** Carries the request path's calls into the admission core, and its decisions out. */
+/** Shell of the admission core: turns calls of the request path into events, and effects into actions. */
 export class QueueAdmission implements Admission {
   private readonly state: AdmissionState;
 
-  private readonly held = new Map<string, Held>();
+  private readonly held = new Map<string, ActiveRequest>();
 
-  /** Requests that made room and will be offered again. */
-  private readonly madeRoom = new Set<string>();
+  /** Pre-empted requests that are expected to be offered again. */
+  private readonly preemptedIds = new Set<string>();
 
   private readonly pace = new PaceMeter();
 
@@ -74,12 +75,12 @@
   constructor(private readonly options: QueueAdmissionOptions) {
     this.state = startAdmission(options.policy);
     this.pacedAtMs = options.clock.nowMs();
-    this.models = new ModelWatch(options.residency, options.clock, (event) => this.tell(event));
+    this.models = new ModelWatch(options.residency, options.clock, (event) => this.step(event));
   }
 
-  /** Takes a changed document into use: what waits and runs goes on under it. */
+  /** Applies a changed document. It also holds for requests that are queued or running. */
   configure(policy: AdmissionPolicy): void {
-    this.tell({ type: 'configured', policy });
+    this.step({ type: 'configured', policy });
   }
 
   stop(): void {
@@ -91,10 +92,10 @@
     if (gone.aborted) {
       return Promise.resolve(result.Err(refuse('cancelled', 'The caller has gone.')));
     }
-    this.models.look(head.model);
+    this.models.checkModel(head.model);
     this.count += 1;
     const key = `${requestId}#${this.count}`;
-    const resumed = this.madeRoom.delete(requestId) || head.continuation !== undefined;
+    const resumed = this.preemptedIds.delete(requestId) || head.continuation !== undefined;
     return new Promise((resolve) => {
       const leave = () => this.abandon(key);
       const settle = (place: Place) => {
@@ -104,7 +105,7 @@
       gone.addEventListener('abort', leave, { once: true });
       const offeredAtMs = this.options.clock.nowMs();
       this.held.set(key, { head, offeredAtMs, settle, preempted: new AbortController() });
-      this.tell({ type: 'offered', offer: this.offerOf(key, head, resumed) });
+      this.step({ type: 'offered', offer: this.offerOf(key, head, resumed) });
     });
   }
 
@@ -125,7 +126,7 @@
     };
   }
 
-  private tell(event: AdmissionEvent): void {
+  private step(event: AdmissionEvent): void {
     const nowMs = this.options.clock.nowMs();
     for (const effect of admission(this.state, event, nowMs).effects) this.act(effect, nowMs);
   }
@@ -134,7 +135,7 @@
     if (effect.type === 'wake') {
       this.cancelWake?.();
       this.cancelWake = this.options.clock.after(effect.atMs - nowMs, () =>
-        this.tell({ type: 'ticked' }),
+        this.step({ type: 'ticked' }),
       );
       return;
     }
@@ -145,7 +146,7 @@
     else this.preempt(held);
   }
 
-  private start(key: string, held: Held, nowMs: Ms): void {
+  private start(key: string, held: ActiveRequest, nowMs: Ms): void {
     this.options.metrics.histogram('admission.wait_ms', nowMs - held.offeredAtMs, {
       kind: held.head.kind,
     });
@@ -153,7 +154,7 @@
     held.settle(result.Ok(this.slot(key, held)));
   }
 
-  private refuse(effect: Extract<AdmissionEffect, { type: 'refuse' }>, held: Held): void {
+  private refuse(effect: Extract<AdmissionEffect, { type: 'refuse' }>, held: ActiveRequest): void {
     const { requestId, failure, retryAfterMs } = effect;
     this.held.delete(requestId);
     this.options.metrics.count('admission.refused', 1, { reason: failure });
@@ -161,7 +162,7 @@
     held.settle(result.Err({ ...refusal, load: this.load() }));
   }
 
-  private preempt(held: Held): void {
+  private preempt(held: ActiveRequest): void {
     this.options.metrics.count('admission.preempted');
     held.preempted.abort();
   }
@@ -169,11 +170,11 @@
   private abandon(key: string): void {
     const held = this.held.get(key);
     this.held.delete(key);
-    this.tell({ type: 'abandoned', requestId: key });
+    this.step({ type: 'abandoned', requestId: key });
     held?.settle(result.Err(refuse('cancelled', 'The caller has gone.')));
   }
 
-  private slot(key: string, { head, preempted }: Held): Slot {
+  private slot(key: string, { head, preempted }: ActiveRequest): Slot {
     let tokens = 0;
     let open = true;
     const kind = this.state.kinds.get(head.kind);
@@ -181,7 +182,7 @@
       preempted: preempted.signal,
       priority: ENGINE_PRIORITY[kind?.priority ?? 'normal'],
       progress: (tokenCount) => {
-        if (tokens === 0) this.tell({ type: 'answering', requestId: key });
+        if (tokens === 0) this.step({ type: 'answering', requestId: key });
         tokens += tokenCount;
         this.progress(key, tokenCount);
       },
@@ -190,24 +191,24 @@
         open = false;
         this.held.delete(key);
         this.pace.end(key);
-        if (outcome === 'preempted') this.remember(key.slice(0, key.lastIndexOf('#')));
-        this.tell({ type: 'released', requestId: key, outcome, tokenCount: tokens });
+        if (outcome === 'preempted') this.awaitReoffer(key.slice(0, key.lastIndexOf('#')));
+        this.step({ type: 'released', requestId: key, outcome, tokenCount: tokens });
       },
     };
   }
 
-  /** It is offered again at once, or never. */
-  private remember(requestId: string): void {
-    this.madeRoom.add(requestId);
-    this.options.clock.after(AGAIN_WITHIN_MS, () => this.madeRoom.delete(requestId));
+  /** Recognises the next offer of a pre-empted request as a resumption. */
+  private awaitReoffer(requestId: string): void {
+    this.preemptedIds.add(requestId);
+    this.options.clock.after(REOFFER_WINDOW_MS, () => this.preemptedIds.delete(requestId));
   }
 
   private progress(key: string, tokenCount: number): void {
     const nowMs = this.options.clock.nowMs();
     this.pace.progress(key, tokenCount, nowMs);
-    if (nowMs - this.pacedAtMs < PACE_EVERY_MS) return;
+    if (nowMs - this.pacedAtMs < PACE_INTERVAL_MS) return;
     this.pacedAtMs = nowMs;
-    this.tell({ type: 'paced', ...this.pace.take() });
+    this.step({ type: 'paced', ...this.pace.take() });
     this.gauge();
   }
 
--- a/src/sidecar/recorder.ts
+++ b/src/sidecar/answerrecorder.ts
@@ -1,10 +1,10 @@
 import type { RequestHead, TicketEntry } from '../wire/index.js';
 
-/** Largest answer that is kept for repeats of a ticket's request. */
+/** Largest answer body that is recorded for repeats of a request with a ticket. */
 const BODY_LIMIT_BYTES = 1_048_576;
 
-/** Gathers the answer to a request that has a ticket, so that a repeat gets the same. */
-export class Recorder {
+/** Records the answer to a request with a ticket, so that a repeat gets the same answer. */
+export class AnswerRecorder {
   private status = 0;
 
   private headers: TicketEntry['headers'] = [];
--- a/src/sidecar/callengine.ts
+++ b/src/sidecar/callengine.ts
@@ -2,7 +2,7 @@
 import type { Engine } from '../port/index.js';
 import type { UpstreamCall } from './upstreamcall.js';
 
-/** Calls an engine for each request. */
+/** Returns the call function for an upstream that is an engine. */
 export function callEngine(engine: Engine): UpstreamCall {
   return ({ requestId, head, priority, resumeToken }, signal) => {
     const generation = {
--- a/src/sidecar/createcontext.ts
+++ b/src/sidecar/createcontext.ts
@@ -10,30 +10,30 @@
 import type { SidecarSettings } from './sidecarsettings.js';
 import { createBoard } from './wiring/createboard.js';
 
-/** A context, and the way to end what its parts keep running. */
+/** A context that can be closed. */
 interface OpenContext extends Context {
   readonly board: MeshBoard;
   close(): void;
 }
 
-/** Builds the drivers that a sidecar's parts share, and begins to take the incarnation. */
+/** Creates the drivers that a sidecar's parts share, and starts taking the incarnation. */
 export function createContext(settings: SidecarSettings, engine: Engine | undefined): OpenContext {
   const log = createLog('sidecar', settings.logLevel);
   const clock = createHostClock(log);
   const metrics = createMetrics('sidecar', settings.statsd ?? undefined);
   const store = createStore(settings.store, clock, metrics);
   const upstreamKey = new UpstreamKey(settings.upstream, { store, clock, log });
-  const ends: (() => void)[] = [() => upstreamKey.stop()];
+  const closers: (() => void)[] = [() => upstreamKey.stop()];
   upstreamKey.start();
   const credentials = peerCredentials(settings.peerTls, log);
-  ends.push(() => credentials.close());
-  const leavers: (() => void)[] = [];
-  const whenLeaving = () => {
-    for (const act of leavers) act();
+  closers.push(() => credentials.close());
+  const leavingListeners: (() => void)[] = [];
+  const onLeaving = () => {
+    for (const act of leavingListeners) act();
   };
   const shared = { settings, clock, log, metrics, store, credentials };
-  const board = createBoard({ ...shared, whenLeaving });
-  ends.push(() => board.stop());
+  const board = createBoard({ ...shared, onLeaving });
+  closers.push(() => board.stop());
   return {
     settings,
     engine,
@@ -47,13 +47,13 @@
     incarnation: upstreamKey,
     intents: upstreamKey,
     onLeaving: (act) => {
-      leavers.push(act);
+      leavingListeners.push(act);
     },
     onStop: (act) => {
-      ends.push(act);
+      closers.push(act);
     },
     close() {
-      for (const end of ends) end();
+      for (const end of closers) end();
     },
   };
 }
--- a/src/sidecar/exchange.ts
+++ b/src/sidecar/exchange.ts
@@ -1,25 +1,25 @@
 import { Metadata, type ServerDuplexStream } from '@grpc/grpc-js';
 import { Batcher } from '../shell/rpc/index.js';
 import type { Frame, FrameBatch, RequestHead } from '../wire/index.js';
-import { CreditedOutlet } from './creditedoutlet.js';
-import type { Outlet } from './outlet.js';
+import { CreditedAnswerSink } from './creditedanswersink.js';
+import type { AnswerSink } from './answersink.js';
 
-/** Options of an exchange. */
+/** Options of `Exchange`. */
 interface ExchangeOptions {
-  /** Runs one request to its typed end. */
-  readonly run: (requestId: string, head: RequestHead, outlet: Outlet) => Promise<void>;
+  /** Runs one request and sends its answer or refusal to the sink. */
+  readonly run: (requestId: string, head: RequestHead, sink: AnswerSink) => Promise<void>;
   readonly revision: () => number;
-  /** Told when the revision in force at the entry has changed. */
+  /** Called when the revision in force at the entry has changed. */
   readonly sawRevision: (revision: number, fromAddress: string) => void;
 }
 
 type Body = NonNullable<Frame['body']>;
 
-/** One gRPC stream of an entry: any number of requests, each with its own credit. */
+/** One gRPC stream from an entry. It carries any number of requests, each with its own flow-control credit. */
 export class Exchange {
   private readonly batcher: Batcher;
 
-  private readonly outlets = new Map<string, CreditedOutlet>();
+  private readonly sinks = new Map<string, CreditedAnswerSink>();
 
   private ended = false;
 
@@ -42,11 +42,11 @@
     stream.on('end', () => this.end());
     stream.on('cancelled', () => this.close());
     stream.on('error', () => this.close());
-    // Tells the entry that the stream stands: what it has not sent before this has never run.
+    // Tells the entry that the stream is open. A request that it had not sent before this cannot have run.
     stream.sendMetadata(new Metadata());
   }
 
-  /** Tells the entry to send nothing more here and to end the stream when it has no use for it. */
+  /** Tells the entry to send no further requests here, and to end the stream when its requests are done. */
   leave(): void {
     this.batcher.flush(true);
   }
@@ -62,30 +62,30 @@
   }
 
   private begin({ requestId, attempt }: Frame, head: RequestHead): void {
-    const earlier = this.outlets.get(requestId);
-    // A doubled head must not run twice.
-    if (earlier && earlier.attempt >= attempt) return;
-    earlier?.close();
-    const outlet = new CreditedOutlet(requestId, attempt, this.batcher);
-    this.outlets.set(requestId, outlet);
-    void this.options.run(requestId, head, outlet).then(() => {
-      if (this.outlets.get(requestId) === outlet) this.outlets.delete(requestId);
+    const previous = this.sinks.get(requestId);
+    // A duplicated head must not run twice.
+    if (previous && previous.attempt >= attempt) return;
+    previous?.close();
+    const sink = new CreditedAnswerSink(requestId, attempt, this.batcher);
+    this.sinks.set(requestId, sink);
+    void this.options.run(requestId, head, sink).then(() => {
+      if (this.sinks.get(requestId) === sink) this.sinks.delete(requestId);
       this.finish();
     });
   }
 
   private grant({ requestId, attempt }: Frame, dataCount: number): void {
-    const outlet = this.outlets.get(requestId);
-    if (outlet?.attempt === attempt) outlet.grant(dataCount);
+    const sink = this.sinks.get(requestId);
+    if (sink?.attempt === attempt) sink.grant(dataCount);
   }
 
   private cancel({ requestId, attempt }: Frame): void {
-    const outlet = this.outlets.get(requestId);
-    if (outlet?.attempt === attempt) outlet.close();
+    const sink = this.sinks.get(requestId);
+    if (sink?.attempt === attempt) sink.close();
   }
 
   private close(): void {
-    for (const outlet of this.outlets.values()) outlet.close();
+    for (const sink of this.sinks.values()) sink.close();
   }
 
   private end(): void {
@@ -94,7 +94,7 @@
   }
 
   private finish(): void {
-    if (!this.ended || this.outlets.size > 0) return;
+    if (!this.ended || this.sinks.size > 0) return;
     this.batcher.flush();
     this.stream.end();
   }
--- a/src/sidecar/exchanges.ts
+++ b/src/sidecar/exchanges.ts
@@ -2,23 +2,23 @@
 import type { Revision } from '../base/index.js';
 import type { Board } from '../shell/board/index.js';
 import type { FrameBatch } from '../wire/index.js';
-import type { Door } from './door.js';
+import type { RequestRunner } from './requestrunner.js';
 import { Exchange } from './exchange.js';
 
-/** The open streams of all entries. */
+/** The open streams from all entries. */
 export class Exchanges {
   private readonly live = new Set<Exchange>();
 
   private leaving = false;
 
   constructor(
-    private readonly door: Door,
+    private readonly runner: RequestRunner,
     private readonly board: Board,
   ) {}
 
   open(stream: ServerDuplexStream<FrameBatch, FrameBatch>): void {
     const exchange = new Exchange(stream, {
-      run: (requestId, head, outlet) => this.door.run(requestId, head, outlet),
+      run: (requestId, head, sink) => this.runner.run(requestId, head, sink),
       revision: () => this.board.revision(),
       sawRevision: (revision, from) => this.board.sawRevision(revision as Revision, from),
     });
@@ -27,7 +27,7 @@
     if (this.leaving) exchange.leave();
   }
 
-  /** Tells every entry that this sidecar leaves. */
+  /** Tells every entry that this sidecar is stopping. */
   leave(): void {
     this.leaving = true;
     for (const exchange of this.live) exchange.leave();
--- a/src/sidecar/fifoadmission.ts
+++ b/src/sidecar/fifoadmission.ts
@@ -4,7 +4,7 @@
 import type { Refusal, RequestHead, UpstreamLoad } from '../wire/index.js';
 import type { Admission, Slot } from './part/index.js';
 
-/** First in, first out, with a fixed number of slots. */
+/** First-in-first-out admission with a fixed number of slots. */
 export class FifoAdmission implements Admission {
   private running = 0;
 
@@ -17,7 +17,7 @@
       const start = () => {
         if (gone.aborted) {
           resolve(result.Err(refuse('cancelled', 'The caller has gone.')));
-          this.next();
+          this.startNext();
           return;
         }
         this.running += 1;
@@ -41,12 +41,12 @@
   private slot(): Slot {
     const release = () => {
       this.running -= 1;
-      this.next();
+      this.startNext();
     };
     return { preempted: new AbortController().signal, progress: () => {}, release };
   }
 
-  private next(): void {
+  private startNext(): void {
     if (this.running < this.slots) this.waiting.shift()?.();
   }
 }
--- a/src/sidecar/handover/takecache.ts
+++ b/src/sidecar/handover/acceptcache.ts
@@ -5,14 +5,16 @@
 
 type Ports = Pick<Context, 'settings' | 'engine' | 'metrics' | 'log'>;
 
-/** Takes over the KV cache of a stopping sidecar's stream, if its model is ready here. */
-export async function takeCache(
+/** Imports the KV cache of a stream that a stopping sidecar sends, if the model is ready here. */
+export async function acceptCache(
   { settings, engine, metrics, log }: Ports,
   residency: Residency,
   { service, requestId, model, adapter, cache }: CacheImport,
 ): Promise<CacheImportReply> {
   if (!engine || service !== settings.service) {
-    return { refusal: refuse('service-unknown', `No engine of "${service}" is here.`) };
+    return {
+      refusal: refuse('service-unknown', `This sidecar has no engine of service "${service}".`),
+    };
   }
   const unpin = residency.pin(model, adapter);
   if (unpin.err) return { refusal: unpin.val };
--- a/src/sidecar/handover/cachehandover.ts
+++ b/src/sidecar/handover/cachehandover.ts
@@ -20,7 +20,7 @@
 >;
 type Effect<Type> = Extract<HandOverEffect, { type: Type }>;
 
-/** Carries the KV caches of what a planned stop cuts off to other sidecars' engines. */
+/** Sends the KV caches of streams that a planned stop cuts off to the engines of other sidecars. */
 export class CacheHandOver {
   private state: HandOverState;
 
@@ -30,7 +30,7 @@
 
   private readonly addresses = new Map<UpstreamId, string>();
 
-  private forgetBound = () => {};
+  private cancelTimeout = () => {};
 
   private readonly effects: {
     readonly [Type in HandOverEffect['type']]: (effect: Effect<Type>) => Promise<void> | void;
@@ -44,7 +44,10 @@
     this.state = idleHandOver(handOverLimits(ports.settings.cacheHandOverBytes));
   }
 
-  /** Begins; gives for each session the upstreams that hold its cache, known within the time bound. */
+  /**
+   * Starts the hand-over. Returns for each session a promise of the upstreams that hold its cache afterwards;
+   * it resolves within the time limit.
+   */
   begin(sessions: readonly Session[]): ReadonlyMap<string, Promise<readonly UpstreamId[]>> {
     const { engine, settings, clock } = this.ports;
     if (!engine || settings.cacheHandOverBytes === 0 || sessions.length === 0) return new Map();
@@ -56,12 +59,14 @@
       ends.set(requestId, end);
     }
     this.step({ type: 'begin', sessions });
-    this.forgetBound = clock.after(this.state.limits.timeoutMs, () => this.step({ type: 'tick' }));
+    this.cancelTimeout = clock.after(this.state.limits.timeoutMs, () =>
+      this.step({ type: 'tick' }),
+    );
     void this.find();
     return ends;
   }
 
-  /** Settles at once what is not yet handed over. */
+  /** Ends the hand-over now: sessions that are not yet handed over are settled without one. */
   giveUp(): void {
     this.step({ type: 'give-up' });
   }
@@ -70,7 +75,9 @@
     const { state, effects } = stepHandOver(this.state, event, this.ports.clock.nowMs());
     this.state = state;
     for (const effect of effects) {
-      const act = this.effects[effect.type] as (one: HandOverEffect) => Promise<void> | void;
+      const act = this.effects[effect.type] as (
+        handOverEffect: HandOverEffect,
+      ) => Promise<void> | void;
       void act(effect);
     }
   }
@@ -92,7 +99,7 @@
     }
     this.caches.set(requestId, cache.val);
     this.step({ type: 'exported', requestId, sizeBytes: cache.val.length });
-    // By now it is on its way, or of no more use.
+    // By now the cache has been sent, or it is no longer needed.
     this.caches.delete(requestId);
   }
 
@@ -101,7 +108,7 @@
     const address = this.addresses.get(upstream)!;
     const client = new WorkClient(address, credentials.channel, channelOptions.client);
     const deadline = clock.wallMs() + Math.max(0, this.state.untilMs - clock.nowMs());
-    const cacheImport = this.messageOf(requestId);
+    const cacheImport = this.cacheImportOf(requestId);
     const taken = await new Promise<boolean>((resolve) => {
       client.importCache(
         cacheImport,
@@ -114,7 +121,7 @@
     this.step({ type: taken ? 'imported' : 'failed', requestId });
   }
 
-  private messageOf(requestId: RequestId): CacheImport {
+  private cacheImportOf(requestId: RequestId): CacheImport {
     const { model = '', adapter = '' } = this.state.moving.get(requestId)?.session ?? {};
     const { service } = this.ports.settings;
     const cache = Buffer.from(this.caches.get(requestId) ?? []);
@@ -126,9 +133,9 @@
     this.caches.delete(requestId);
     const end = upstream === undefined ? 'not_handed_on' : 'handed_on';
     this.ports.metrics.count('cache.left', 1, { end });
-    this.ports.log.info('KV cache at the end of the stop', { requestId, to: upstream });
+    this.ports.log.info('KV cache hand-over ended', { requestId, to: upstream });
     this.settled.get(requestId)?.(upstream === undefined ? [] : [upstream]);
     this.settled.delete(requestId);
-    if (this.settled.size === 0) this.forgetBound();
+    if (this.settled.size === 0) this.cancelTimeout();
   }
 }
--- a/src/sidecar/handover/findholders.ts
+++ b/src/sidecar/handover/findholders.ts
@@ -8,12 +8,12 @@
 
 const CALL_TIMEOUT_MS = 500;
 
-/** A stop does not ask more peers than this. */
+/** Maximum number of peers that one stop queries. */
 const PEER_LIMIT = 32;
 
 type Ports = Pick<Context, 'settings' | 'board' | 'clock' | 'credentials'>;
 
-/** An upstream that takes work, and the address of its sidecar. */
+/** An upstream that accepts requests, and the address of its sidecar. */
 interface FoundHolder extends Holder {
   readonly sidecarAddress: string;
 }
@@ -44,12 +44,12 @@
   };
 }
 
-/** Asks the service's other sidecars what they hold now: a sidecar's board has only its own record. */
+/** Asks the other sidecars of the service for their current records; the own board holds only the own record. */
 export async function findHolders(ports: Ports): Promise<FoundHolder[]> {
   const peers = peersOf(ports).slice(0, PEER_LIMIT);
-  const asked = peers.map(async ({ sidecarAddress }) => {
+  const found = peers.map(async ({ sidecarAddress }) => {
     const record = await ask(sidecarAddress, ports);
     return record?.phase === 'ready' ? [holderOf(record, sidecarAddress)] : [];
   });
-  return (await Promise.all(asked)).flat();
+  return (await Promise.all(found)).flat();
 }
--- a/src/sidecar/handover/index.ts
+++ b/src/sidecar/handover/index.ts
@@ -1,3 +1,3 @@
-/** Hand-over of KV caches between sidecars on a planned stop: both sides of it. */
+/** Hand-over of KV caches between sidecars on a planned stop: the sending and the receiving side. */
 export { CacheHandOver } from './cachehandover.js';
-export { takeCache } from './takecache.js';
+export { acceptCache } from './acceptcache.js';
--- a/src/sidecar/incarnation/index.ts
+++ b/src/sidecar/incarnation/index.ts
@@ -1,2 +1,2 @@
-/** The sidecar's hold on its upstream's key: who may order, and what was ordered. */
+/** The upstream's key in the store: it names the sidecar that may send orders, and the intents of its orders. */
 export { UpstreamKey } from './upstreamkey.js';
--- a/src/sidecar/incarnation/upstreamkey.ts
+++ b/src/sidecar/incarnation/upstreamkey.ts
@@ -15,14 +15,14 @@
 
 type Act<Type extends FenceEffect['type']> = (effect: Extract<FenceEffect, { type: Type }>) => void;
 
-/** What the hold on the upstream's key needs from outside. */
+/** Ports that `UpstreamKey` uses. */
 interface Ports {
   readonly store: KeyValueStore;
   readonly clock: Clock;
   readonly log: Log;
 }
 
-/** Carries the calls of the hold on one upstream's key to the store, and their answers back. */
+/** Shell of the fence core: reads and swaps the key of one upstream in the store. */
 export class UpstreamKey implements IncarnationHolder, IntentLog {
   private state = emptyFence(nanoid());
 
@@ -30,9 +30,9 @@
 
   private readonly key: string;
 
-  private endTicks: (() => void) | undefined;
+  private cancelTick: (() => void) | undefined;
 
-  private readonly acts: { readonly [Type in FenceEffect['type']]: Act<Type> } = {
+  private readonly actions: { readonly [Type in FenceEffect['type']]: Act<Type> } = {
     'read-key': () => {
       void this.read();
     },
@@ -41,16 +41,20 @@
     },
     taken: (effect) => {
       this.ports.log.info('incarnation taken', { ...effect, inherited: effect.inherited.length });
-      this.tell(effect);
+      this.notify(effect);
     },
-    recorded: (effect) => this.tell(effect),
+    recorded: (effect) => this.notify(effect),
     superseded: (effect) => {
-      this.ports.log.warn('superseded: another sidecar took this upstream', { ...effect });
-      this.tell(effect);
+      this.ports.log.warn('incarnation superseded: another sidecar has taken this upstream', {
+        ...effect,
+      });
+      this.notify(effect);
     },
     'store-failing': (effect) => {
-      this.ports.log.warn('the upstream key waits for the store', { ...effect.failure });
-      this.tell(effect);
+      this.ports.log.warn('upstream key not read or written: store failing, will retry', {
+        ...effect.failure,
+      });
+      this.notify(effect);
     },
   };
 
@@ -73,17 +77,17 @@
     this.listeners.add(listener);
   }
 
-  /** Begins to take the incarnation. */
+  /** Starts taking the incarnation; repeats every `TICK_MS`. */
   start(): void {
     this.take({ type: 'tick' });
-    this.endTicks = this.ports.clock.after(TICK_MS, () => this.start());
+    this.cancelTick = this.ports.clock.after(TICK_MS, () => this.start());
   }
 
   stop(): void {
-    this.endTicks?.();
+    this.cancelTick?.();
   }
 
-  want(intents: readonly Intent[]): void {
+  setIntents(intents: readonly Intent[]): void {
     this.take({ type: 'wanted', intents });
   }
 
@@ -91,12 +95,12 @@
     const change = stepFence(this.state, event, this.ports.clock.nowMs());
     this.state = change.state;
     for (const effect of change.effects) {
-      const act = this.acts[effect.type] as Act<FenceEffect['type']>;
+      const act = this.actions[effect.type] as Act<FenceEffect['type']>;
       act(effect);
     }
   }
 
-  private tell(effect: Parameters<FenceListener>[0]): void {
+  private notify(effect: Parameters<FenceListener>[0]): void {
     for (const listener of this.listeners) listener(effect);
   }
 
--- a/src/sidecar/index.ts
+++ b/src/sidecar/index.ts
@@ -1,4 +1,4 @@
-/** The sidecar daemon: one beside each upstream, and the only door to it. */
+/** The sidecar daemon: one runs beside each upstream, and all requests to the upstream go through it. */
 export { sidecarSchema } from './sidecarschema.js';
 export type { SidecarSettings } from './sidecarsettings.js';
 export { startSidecar } from './startsidecar.js';
--- a/src/sidecar/part/context.ts
+++ b/src/sidecar/part/context.ts
@@ -6,7 +6,7 @@
 import type { IncarnationHolder } from './incarnationholder.js';
 import type { IntentLog } from './intentlog.js';
 
-/** What each part of a sidecar is built from. */
+/** Dependencies that all parts of a sidecar share. */
 export interface Context {
   readonly settings: SidecarSettings;
   readonly clock: Clock;
@@ -15,15 +15,15 @@
   readonly audit: Audit;
   readonly board: Board;
   readonly store: KeyValueStore;
-  /** Of both ends of calls between the system's processes. */
+  /** Credentials for both ends of calls between the system's processes. */
   readonly credentials: PeerCredentials;
-  /** Names this life of the sidecar: tickets and orders carry it. */
+  /** Identifies this run of the sidecar in tickets and orders. */
   readonly incarnation: IncarnationHolder;
   readonly intents: IntentLog;
-  /** Calls `act` when the sidecar stops, after the last answer has gone out. */
+  /** Registers `act` to run when the sidecar stops, after the last answer was sent. */
   readonly onStop: (act: () => void) => void;
-  /** Calls `act`, perhaps more than once, when the host list shows this host as leaving. */
+  /** Registers `act` to run when the host list shows this host as leaving; it can run more than once. */
   readonly onLeaving: (act: () => void) => void;
-  /** Absent before a plain service. */
+  /** Undefined if the upstream is a plain service. */
   readonly engine: Engine | undefined;
 }
--- a/src/sidecar/part/fencelistener.ts
+++ b/src/sidecar/part/fencelistener.ts
@@ -1,6 +1,6 @@
 import type { FenceEffect } from '../../core/fence/index.js';
 
-/** Is told when the hold on the upstream's key changes. */
+/** Called when the incarnation is taken or superseded, when intents are recorded, and when the store fails. */
 export type FenceListener = (
   effect: Extract<FenceEffect, { type: 'taken' | 'recorded' | 'superseded' | 'store-failing' }>,
 ) => void;
--- a/src/sidecar/part/index.ts
+++ b/src/sidecar/part/index.ts
@@ -1,4 +1,4 @@
-/** What the sidecar's shell asks of its parts: each is one interface with one implementation. */
+/** Interfaces of the sidecar's parts. Tests can replace a part by another implementation. */
 export type { Admission } from './admission.js';
 export type { Context } from './context.js';
 export type { FenceListener } from './fencelistener.js';
--- a/src/sidecar/part/intentlog.ts
+++ b/src/sidecar/part/intentlog.ts
@@ -1,10 +1,10 @@
 import type { Intent } from '../../core/fence/index.js';
 import type { FenceListener } from './fencelistener.js';
 
-/** The intents of orders that the store holds for this upstream. */
+/** The intents of orders to this upstream, recorded in the store before an order is sent. */
 export interface IntentLog {
-  /** Says which intents the store should hold from now on. */
-  want(intents: readonly Intent[]): void;
-  /** Tells when the incarnation is taken or lost, and when intents are recorded. */
+  /** Sets the intents that the store should hold from now on. */
+  setIntents(intents: readonly Intent[]): void;
+  /** Registers a listener for the events of `FenceListener`. */
   listen(listener: FenceListener): void;
 }
--- a/src/sidecar/part/permit.ts
+++ b/src/sidecar/part/permit.ts
@@ -1,15 +1,15 @@
 import type { Refusal, TicketEntry } from '../../wire/index.js';
 
-/** What the run-once table says of a request. */
+/** Decision of the run-once table: run the request, or replay a recorded answer. */
 export type Permit =
   | {
       readonly type: 'run';
       /**
-       * Asked right before the request is sent: a refusal if it may not be any more. It is recorded as
-       * `none` then.
+       * Called right before the request is sent. Returns a refusal if the request may no longer be sent; the
+       * caller then records `none`.
        */
       readonly start: () => Refusal | undefined;
-      /** Records how it ended. `none` takes the record back: nothing was sent. */
+      /** Records the outcome. `none` removes the record, because nothing was sent. */
       readonly record: (
         end:
           | { readonly type: 'answered'; readonly answer: TicketEntry }
--- a/src/sidecar/part/residency.ts
+++ b/src/sidecar/part/residency.ts
@@ -8,17 +8,17 @@
   Resident,
 } from '../../wire/index.js';
 
-/** What the upstream's memory holds, and the orders that change it. */
+/** The models and adapters in the upstream's memory, and the requests that change them. */
 export interface Residency {
-  /** Keeps a model (and adapter) in memory until the returned function is called. */
+  /** Pins a model, and an adapter if one is named, in memory until the returned function is called. */
   pin(model: string, adapter: string): Result<() => void, Refusal>;
   place(plan: PlacementPlan): PlacementReply;
   rescue(request: RescueRequest): RescueReply;
   residents(): readonly Resident[];
   freeBytes(): number;
-  /** Time until a model that is being loaded is expected to be ready, in ms, if that can be told. */
+  /** Returns the expected time in ms until a model that is being loaded is ready; undefined if unknown. */
   expectedReadyMs?(model: string): number | undefined;
-  /** Called when a planned stop begins: the upstream takes no new work. */
+  /** Called when a planned stop begins: the upstream accepts no new requests. */
   leave?(): void;
   /** Called on a planned stop, once nothing is in flight. */
   stop?(): Promise<void>;
--- a/src/sidecar/part/slot.ts
+++ b/src/sidecar/part/slot.ts
@@ -1,11 +1,11 @@
-/** A request's place among those that the upstream runs now. */
+/** A slot for one running request at the upstream. */
 export interface Slot {
-  /** Aborted when the request has to make room and be taken up again later. */
+  /** Aborted when the request is pre-empted: it has to stop and be offered again. */
   readonly preempted: AbortSignal;
-  /** Priority that the engine is given; higher goes first. Defaults to 0. */
+  /** Priority at the engine; higher values run first. Defaults to 0. */
   readonly priority?: number;
-  /** Tells that tokens have come, so that the pace can be held. */
+  /** Reports tokens that have arrived; admission controls the token pace with it. */
   progress(tokenCount: number): void;
-  /** Gives the place back, once. */
+  /** Releases the slot. Called once. */
   release(outcome: 'answered' | 'broken' | 'cancelled' | 'preempted'): void;
 }
--- a/src/sidecar/parts.ts
+++ b/src/sidecar/parts.ts
@@ -1,6 +1,6 @@
 import type { Admission, Residency, RunOnce } from './part/index.js';
 
-/** What a request passes through on its way to the upstream. */
+/** The parts of a sidecar that a request passes through on its way to the upstream. */
 export interface Parts {
   readonly admission: Admission;
   readonly residency: Residency;
--- a/src/sidecar/replay.ts
+++ b/src/sidecar/replay.ts
@@ -1,8 +1,8 @@
 import { refuse } from '../core/refusal/index.js';
 import { Executed, type TicketEntry } from '../wire/index.js';
-import type { Outlet } from './outlet.js';
+import type { AnswerSink } from './answersink.js';
 
-/** Cuts a recorded body into the pieces that it was first sent in. */
+/** Splits a recorded body into the pieces in which it was first sent. */
 function* piecesOf({ body, pieceBytes }: TicketEntry): Iterable<Buffer> {
   let start = 0;
   for (const sizeBytes of pieceBytes) {
@@ -11,21 +11,21 @@
   }
 }
 
-/** Answers a repeat with what the first run gave, frame by frame. */
-export async function replay(answer: TicketEntry, outlet: Outlet): Promise<void> {
+/** Answers a repeat with the recorded answer of the first run, frame by frame. */
+export async function replay(answer: TicketEntry, sink: AnswerSink): Promise<void> {
   if (answer.bodyDropped) {
-    const detail = 'The request ran; its answer is no longer held.';
+    const detail = 'The request ran, but its answer is no longer stored.';
     const value = refuse('answer-dropped', detail, { executed: Executed.EXECUTED_YES });
-    outlet.send({ $case: 'refusal', value });
+    sink.send({ $case: 'refusal', value });
     return;
   }
   const { status, headers } = answer;
-  outlet.send({ $case: 'start', value: { status, headers } });
+  sink.send({ $case: 'start', value: { status, headers } });
   for (const payload of piecesOf(answer)) {
-    outlet.send({ $case: 'data', value: { payload, tokenCount: 0 } });
-    await outlet.ready();
+    sink.send({ $case: 'data', value: { payload, tokenCount: 0 } });
+    await sink.ready();
   }
   const dataCount = answer.pieceBytes.length;
   const value = { dataCount, failure: '', load: undefined, resumeToken: '', candidates: [] };
-  outlet.send({ $case: 'end', value });
+  sink.send({ $case: 'end', value });
 }
--- a/src/sidecar/residency/addressof.ts
+++ b/src/sidecar/residency/addressof.ts
@@ -1,6 +1,6 @@
 import type { ServiceDocument } from '../../core/document/index.js';
 
-/** Where a document says that an upstream's sidecar is reached. */
+/** Returns the address of an upstream's sidecar according to the document. */
 export function addressOf({ groups }: ServiceDocument, upstream: string): string | undefined {
   for (const { upstreams } of groups) {
     for (const { id, sidecarAddress } of upstreams) if (id === upstream) return sidecarAddress;
--- a/src/sidecar/residency/demandcount.ts
+++ b/src/sidecar/residency/demandcounter.ts
@@ -1,25 +1,25 @@
 import type { Ms } from '../../base/index.js';
 import type { ModelDemand } from '../../wire/index.js';
 
-type Counted = { -readonly [Field in keyof ModelDemand]: ModelDemand[Field] };
+type MutableDemand = { -readonly [Field in keyof ModelDemand]: ModelDemand[Field] };
 
-/** Counts the requests for each model since the sidecar started; the planner takes differences. */
-export class DemandCount {
-  private readonly models = new Map<string, Counted>();
+/** Counts the requests for each model since the sidecar started. The planner uses the differences. */
+export class DemandCounter {
+  private readonly models = new Map<string, MutableDemand>();
 
-  /** Requests counted in all: tells whether anything is new. */
+  /** Total number of requests; a change shows that there is new demand to publish. */
   total = 0;
 
-  asked(model: string): void {
+  countRequest(model: string): void {
     this.total += 1;
     this.of(model).askedCount += 1;
   }
 
-  refused(model: string): void {
+  countRefusal(model: string): void {
     this.of(model).refusedCount += 1;
   }
 
-  served(model: string, tookMs: Ms): void {
+  addServiceTime(model: string, tookMs: Ms): void {
     this.of(model).serviceTimeMs += Math.round(tookMs);
   }
 
@@ -27,7 +27,7 @@
     return [...this.models.values()].map((counted) => ({ ...counted }));
   }
 
-  private of(model: string): Counted {
+  private of(model: string): MutableDemand {
     const known = this.models.get(model);
     if (known) return known;
     const counted = { model, askedCount: 0, refusedCount: 0, serviceTimeMs: 0 };
--- a/src/sidecar/residency/documentevent.ts
+++ b/src/sidecar/residency/documentevent.ts
@@ -1,7 +1,7 @@
 import type { ServiceDocument } from '../../core/document/index.js';
 import type { ResidencyEvent } from '../../core/residency/index.js';
 
-/** What a document says of one upstream's memory; undefined if it does not name the upstream. */
+/** Returns the document event for one upstream's memory; undefined if the document does not list the upstream. */
 export function documentEvent(
   document: ServiceDocument,
   upstream: string,
--- a/src/sidecar/residency/departure.ts
+++ b/src/sidecar/residency/enginedrain.ts
@@ -8,32 +8,32 @@
 } from '../../core/drain/index.js';
 import type { Log } from '../../port/index.js';
 
-/** How long a leaving upstream waits for the planner to place its models elsewhere. */
+/** Time that a leaving upstream waits for the planner to place its models elsewhere. */
 const PLACE_TIMEOUT_MS: Ms = 10_000;
 
-/** What leaving needs from the upstream's memory. */
-interface DepartureOptions {
+/** Dependencies of an engine's drain. */
+interface EngineDrainOptions {
   readonly clock: Clock;
   readonly log: Log;
-  /** Models that have no place elsewhere yet. */
+  /** Returns the number of models that are not yet placed elsewhere. */
   readonly unplaced: () => number;
-  /** Refuses new work from now on. */
+  /** Makes the residency refuse new requests. */
   readonly refuse: () => void;
-  /** Tells the region of the new phase. */
+  /** Publishes the new phase to the region. */
   readonly publish: () => void;
 }
 
-/** Carries the core of leaving: who said so, what is in flight, which models lack a place. */
-export class Departure {
+/** Shell of the drain core: passes on why the drain began, what is in flight, and which models are unplaced. */
+export class EngineDrain {
   private state: DrainState = servingDrain(PLACE_TIMEOUT_MS);
 
   private inFlight = 0;
 
   private hasBegun = false;
 
-  private whenGone: (() => void) | undefined;
+  private resolveGone: (() => void) | undefined;
 
-  constructor(private readonly options: DepartureOptions) {}
+  constructor(private readonly options: EngineDrainOptions) {}
 
   phase(): DrainPhase {
     return this.state.phase;
@@ -43,7 +43,7 @@
     if (this.hasBegun) return;
     this.hasBegun = true;
     this.options.refuse();
-    this.look();
+    this.checkPlacement();
     this.step({ type: 'leave', reason });
   }
 
@@ -52,17 +52,17 @@
     this.step({ type: 'in-flight', count: this.inFlight });
   }
 
-  /** Looks whether models have found other places, or the time is up. */
-  look(): void {
+  /** Checks whether the models are placed elsewhere or the timeout has expired. */
+  checkPlacement(): void {
     if (!this.hasBegun) return;
     this.step({ type: 'unplaced', count: this.options.unplaced() });
   }
 
-  /** Resolves when the upstream has let go of its models. */
+  /** Resolves when the drain has reached phase `gone`. */
   gone(): Promise<void> {
     if (this.state.phase === 'gone') return Promise.resolve();
     return new Promise((resolve) => {
-      this.whenGone = resolve;
+      this.resolveGone = resolve;
     });
   }
 
@@ -72,7 +72,7 @@
     for (const { phase, unplaced } of change.effects) {
       this.options.log.info('leaving', { phase, reason: this.state.reason, unplaced });
       this.options.publish();
-      if (phase === 'gone') this.whenGone?.();
+      if (phase === 'gone') this.resolveGone?.();
     }
   }
 }
--- a/src/sidecar/residency/engineresidency.ts
+++ b/src/sidecar/residency/engineresidency.ts
@@ -20,54 +20,54 @@
 } from '../../wire/index.js';
 import type { FenceListener, Residency } from '../part/index.js';
 import { addressOf } from './addressof.js';
-import { DemandCount } from './demandcount.js';
-import { Departure } from './departure.js';
+import { DemandCounter } from './demandcounter.js';
+import { EngineDrain } from './enginedrain.js';
 import { documentEvent } from './documentevent.js';
 import { followDocument } from './followdocument.js';
 import { OrderSender } from './ordersender.js';
 import { planOf } from './planof.js';
 import { RecordPublisher } from './recordpublisher.js';
 import { refusalOf } from './refusalof.js';
-import { ReportPoll } from './reportpoll.js';
+import { ReportPoller } from './reportpoller.js';
 import type { ResidencyPorts } from './residencyports.js';
 import { residentsOf } from './residentsof.js';
 
 const TICK_MS: Ms = 250;
 
-/** How often counted demand is told when nothing else changes. */
-const DEMAND_MS: Ms = 5000;
+/** Interval at which new demand is published while nothing else changes. */
+const DEMAND_INTERVAL_MS: Ms = 5000;
 
-/** Phase of the record in each phase of leaving. */
-const TOLD_PHASE = {
+/** Phase in the published record for each phase of the drain. */
+const RECORD_PHASE = {
   serving: 'ready',
   finishing: 'leaving',
   placing: 'leaving',
   gone: 'gone',
 } as const satisfies Record<DrainPhase, string>;
 
-type Find<Type extends ResidencyEffect['type']> = Extract<ResidencyEffect, { type: Type }>;
+type EffectOf<Type extends ResidencyEffect['type']> = Extract<ResidencyEffect, { type: Type }>;
 
-/** Carries events into the core of an engine's memory, and its effects out. */
+/** Shell of the residency core of an engine: passes events in and performs the effects. */
 export class EngineResidency implements Residency {
   private state: ReturnType<typeof emptyResidency>;
 
   private address: string;
 
-  private demandTold = 0;
+  private publishedDemand = 0;
 
-  private demandToldAtMs: Ms = 0;
+  private publishedAtMs: Ms = 0;
 
-  private endTicks: (() => void) | undefined;
+  private cancelTick: (() => void) | undefined;
 
-  private readonly demand = new DemandCount();
+  private readonly demand = new DemandCounter();
 
   private readonly publisher: RecordPublisher;
 
   private readonly sender: OrderSender;
 
-  private readonly poll: ReportPoll;
+  private readonly poll: ReportPoller;
 
-  private readonly departure: Departure;
+  private readonly engineDrain: EngineDrain;
 
   constructor(private readonly ports: ResidencyPorts) {
     const { settings, clock, engine, intents, onLeaving, onStop } = ports;
@@ -76,11 +76,11 @@
     this.publisher = new RecordPublisher(ports);
     this.sender = new OrderSender(ports, (event) => this.take(event));
     const isBusy = () => this.state.ledger.openOrders.size > 0;
-    this.poll = new ReportPoll(engine, clock, isBusy, (poll, answer) => {
+    this.poll = new ReportPoller(engine, clock, isBusy, (poll, answer) => {
       if (answer.ok) this.take({ type: 'report', poll, report: answer.val });
       else this.missed(answer.val.type);
     });
-    this.departure = new Departure({
+    this.engineDrain = new EngineDrain({
       clock,
       log: ports.log,
       unplaced: () => unplacedOf(this.state, clock.nowMs()),
@@ -93,33 +93,33 @@
       this.address = addressOf(document, settings.upstream) ?? settings.listen;
       this.take(event);
     });
-    intents.listen((effect) => this.hearFence(effect));
-    onLeaving(() => this.departure.begin('host-list'));
+    intents.listen((effect) => this.onFence(effect));
+    onLeaving(() => this.engineDrain.begin('host-list'));
     onStop(() => this.end());
     this.tick();
     void this.poll.ask();
   }
 
   pin(model: string, adapter: string): Result<() => void, Refusal> {
-    this.demand.asked(model);
+    this.demand.countRequest(model);
     const [answer] = this.take({ type: 'pin', model, adapter });
-    if (answer?.type === 'pinned') return result.Ok(this.unpinOnce(model, answer.keys));
-    this.demand.refused(model);
-    return result.Err(refusalOf((answer as Find<'refused'>).failure));
+    if (answer?.type === 'pinned') return result.Ok(this.unpinner(model, answer.keys));
+    this.demand.countRefusal(model);
+    return result.Err(refusalOf((answer as EffectOf<'refused'>).failure));
   }
 
   place(plan: PlacementPlan): PlacementReply {
     const { upstream } = plan;
     const [answer] = this.take({ type: 'plan', upstream, plan: planOf(plan) });
-    const { accepted, epoch, failure } = answer as Find<'plan-answered'>;
-    this.departure.look();
+    const { accepted, epoch, failure } = answer as EffectOf<'plan-answered'>;
+    this.engineDrain.checkPlacement();
     return { accepted, epoch, refusal: failure && refusalOf(failure) };
   }
 
   rescue({ model, adapter, heldElsewhere: replicas }: RescueRequest): RescueReply {
     const [answer] = this.take({ type: 'rescue', model, adapter, replicas });
     if (answer?.type !== 'rescue-accepted') {
-      const refusal = refusalOf((answer as Find<'refused'>).failure);
+      const refusal = refusalOf((answer as EffectOf<'refused'>).failure);
       return { accepted: false, estimatedReadyMs: 0, refusal };
     }
     return { accepted: true, estimatedReadyMs: answer.estimatedReadyMs, refusal: undefined };
@@ -138,33 +138,33 @@
   }
 
   leave(): void {
-    this.departure.begin('stop');
+    this.engineDrain.begin('stop');
   }
 
-  /** Resolves when the planner has placed the models elsewhere, or the time is up. */
+  /** Resolves when the planner has placed the models elsewhere or the timeout has expired. */
   stop(): Promise<void> {
     this.leave();
-    return this.departure.gone();
+    return this.engineDrain.gone();
   }
 
-  private unpinOnce(model: string, keys: readonly HoldingKey[]): () => void {
+  private unpinner(model: string, keys: readonly HoldingKey[]): () => void {
     const { clock } = this.ports;
     const sinceMs = clock.nowMs();
     let isPinned = true;
-    this.departure.count(1);
+    this.engineDrain.count(1);
     return () => {
       if (!isPinned) return;
       isPinned = false;
-      this.demand.served(model, clock.nowMs() - sinceMs);
+      this.demand.addServiceTime(model, clock.nowMs() - sinceMs);
       this.take({ type: 'unpin', keys });
-      this.departure.count(-1);
+      this.engineDrain.count(-1);
     };
   }
 
-  private hearFence(effect: Parameters<FenceListener>[0]): void {
+  private onFence(effect: Parameters<FenceListener>[0]): void {
     if (effect.type === 'taken') {
-      this.take({ ...effect, poll: this.poll.asked });
-      this.poll.hurry();
+      this.take({ ...effect, poll: this.poll.lastPoll });
+      this.poll.pollNow();
     } else if (effect.type === 'recorded') this.take(effect);
     else this.take({ type: effect.type });
   }
@@ -172,14 +172,14 @@
   private take(event: ResidencyEvent): readonly ResidencyEffect[] {
     const change = stepResidency(this.state, event, this.ports.clock.nowMs());
     this.state = change.state;
-    for (const effect of change.effects) this.carryOut(effect);
-    if (this.state.isLeaving) this.departure.begin('engine');
+    for (const effect of change.effects) this.perform(effect);
+    if (this.state.isLeaving) this.engineDrain.begin('engine');
     return change.effects;
   }
 
-  private carryOut(effect: ResidencyEffect): void {
+  private perform(effect: ResidencyEffect): void {
     if (effect.type === 'order') void this.sender.send(effect.order);
-    else if (effect.type === 'intents') this.ports.intents.want(effect.intents);
+    else if (effect.type === 'intents') this.ports.intents.setIntents(effect.intents);
     else if (effect.type === 'resolved') this.sender.settled(effect.open.order);
     else if (effect.type === 'changed') this.publish();
   }
@@ -193,23 +193,23 @@
     const { engineId } = this.state.ledger;
     if (engineId === undefined && this.state.isManaged) return;
     const { role } = this.state.ledger;
-    const told = { residents: this.residents(), freeBytes: this.freeBytes(), role };
-    const phase = TOLD_PHASE[this.departure.phase()];
-    this.publisher.publish({ ...told, phase, demand: this.demand.list() }, this.address);
-    this.demandTold = this.demand.total;
-    this.demandToldAtMs = this.ports.clock.nowMs();
+    const contents = { residents: this.residents(), freeBytes: this.freeBytes(), role };
+    const phase = RECORD_PHASE[this.engineDrain.phase()];
+    this.publisher.publish({ ...contents, phase, demand: this.demand.list() }, this.address);
+    this.publishedDemand = this.demand.total;
+    this.publishedAtMs = this.ports.clock.nowMs();
   }
 
   private tick(): void {
     this.take({ type: 'tick' });
-    this.departure.look();
-    this.measure();
-    const isOld = this.ports.clock.nowMs() - this.demandToldAtMs >= DEMAND_MS;
-    if (isOld && this.demand.total > this.demandTold) this.publish();
-    this.endTicks = this.ports.clock.after(TICK_MS, () => this.tick());
+    this.engineDrain.checkPlacement();
+    this.updateGauges();
+    const isDue = this.ports.clock.nowMs() - this.publishedAtMs >= DEMAND_INTERVAL_MS;
+    if (isDue && this.demand.total > this.publishedDemand) this.publish();
+    this.cancelTick = this.ports.clock.after(TICK_MS, () => this.tick());
   }
 
-  private measure(): void {
+  private updateGauges(): void {
     const { ledger } = this.state;
     const unknown = [...ledger.openOrders.values()].filter(({ phase }) => phase === 'unknown');
     this.ports.metrics.gauge('residency.committed_bytes', committedBytes(ledger));
@@ -219,6 +219,6 @@
 
   private end(): void {
     this.poll.stop();
-    this.endTicks?.();
+    this.cancelTick?.();
   }
 }
--- a/src/sidecar/residency/followdocument.ts
+++ b/src/sidecar/residency/followdocument.ts
@@ -2,7 +2,7 @@
 import type { BoardRecord } from '../../shell/board/index.js';
 import type { Context } from '../part/index.js';
 
-/** Calls `adopt` with the service's document, now and after each change; an unreadable one is skipped. */
+/** Calls `adopt` with the service's document, now and after each change. An unreadable document is skipped. */
 export function followDocument(
   { board, settings, log, onStop }: Context,
   adopt: (document: ServiceDocument) => void,
--- a/src/sidecar/residency/ordersender.ts
+++ b/src/sidecar/residency/ordersender.ts
@@ -2,13 +2,13 @@
 import type { ResidencyEvent } from '../../core/residency/index.js';
 import type { ResidencyPorts } from './residencyports.js';
 
-type Answered = Extract<ResidencyEvent, { type: 'answered' }>;
+type AnsweredEvent = Extract<ResidencyEvent, { type: 'answered' }>;
 
-/** Sends orders to the engine, writes each into the audit trail, and tells what the engine said. */
+/** Sends orders to the engine, writes them to the audit trail, and passes on the engine's replies. */
 export class OrderSender {
   constructor(
     private readonly ports: ResidencyPorts,
-    private readonly tell: (event: Answered) => void,
+    private readonly onAnswer: (event: AnsweredEvent) => void,
   ) {}
 
   async send(order: Order): Promise<void> {
@@ -17,17 +17,17 @@
     this.ports.metrics.count('order.sent', 1, { action: order.action });
     const answer = await this.ports.engine.order(order);
     if (answer.ok) {
-      this.tell({ type: 'answered', orderId, outcome: 'accepted' });
+      this.onAnswer({ type: 'answered', orderId, outcome: 'accepted' });
       return;
     }
     const { type, detail } = answer.val;
     this.ports.log.warn('order not confirmed', { orderId, type, detail });
     this.ports.metrics.count('order.unconfirmed', 1, { type });
     const outcome = type === 'upstream-fenced' ? 'fenced' : 'unanswered';
-    this.tell({ type: 'answered', orderId, outcome });
+    this.onAnswer({ type: 'answered', orderId, outcome });
   }
 
-  /** Writes down that the engine's report has settled an order. */
+  /** Records that the engine's report has settled an order. */
   settled(order: Order): void {
     this.audit('order-settled', order);
     this.ports.metrics.count('order.settled', 1, { action: order.action });
--- a/src/sidecar/residency/recordpublisher.ts
+++ b/src/sidecar/residency/recordpublisher.ts
@@ -1,8 +1,8 @@
 import { UpstreamRecord, type ModelDemand, type Resident } from '../../wire/index.js';
 import type { Context } from '../part/index.js';
 
-/** What changes in the record of an upstream. */
-interface Told {
+/** The fields of an upstream's record that change. */
+interface RecordFields {
   readonly phase: 'joining' | 'ready' | 'leaving' | 'gone';
   readonly residents: readonly Resident[];
   readonly freeBytes: number;
@@ -10,20 +10,20 @@
   readonly demand: readonly ModelDemand[];
 }
 
-/** Tells the region of this sidecar's upstream, through the board. */
+/** Publishes the record of this sidecar's upstream to the region, through the board. */
 export class RecordPublisher {
   private sequence = 0;
 
   constructor(private readonly context: Context) {}
 
-  publish(told: Told, address: string): void {
+  publish(fields: RecordFields, address: string): void {
     const { settings, incarnation, board } = this.context;
     const { upstream, service, availabilityZone } = settings;
     this.sequence += 1;
     const record = UpstreamRecord.fromPartial({
-      ...told,
-      residents: [...told.residents],
-      demand: [...told.demand],
+      ...fields,
+      residents: [...fields.residents],
+      demand: [...fields.demand],
       upstream,
       service,
       availabilityZone,
--- a/src/sidecar/residency/residencyports.ts
+++ b/src/sidecar/residency/residencyports.ts
@@ -1,5 +1,5 @@
 import type { Engine } from '../../port/index.js';
 import type { Context } from '../part/index.js';
 
-/** What the memory of an engine needs: a sidecar's context, with the engine. */
+/** Dependencies of `EngineResidency`: the sidecar's context with an engine. */
 export type ResidencyPorts = Context & { readonly engine: Engine };
--- a/src/sidecar/residency/residentsof.ts
+++ b/src/sidecar/residency/residentsof.ts
@@ -1,13 +1,13 @@
 import type { ResidencyState } from '../../core/residency/index.js';
 import type { Resident } from '../../wire/index.js';
 
-interface Listed extends Resident {
+interface MutableResident extends Resident {
   adapters: string[];
   phase: string;
 }
 
-/** An engine that looks after its own memory serves whatever the document offers. */
-function allOf({ catalogue }: ResidencyState): Resident[] {
+/** Lists all models of the document: an engine that manages its own memory serves each of them. */
+function catalogueResidents({ catalogue }: ResidencyState): Resident[] {
   const residents: Resident[] = [];
   for (const [model, { version, sizeBytes }] of catalogue?.models ?? []) {
     const adapters = [...(catalogue?.adapters ?? [])]
@@ -18,7 +18,11 @@
   return residents;
 }
 
-function promised({ ledger }: ResidencyState, residents: Map<string, Listed>): void {
+/** Applies the effect of open orders, which the engine's report does not show yet. */
+function applyOpenOrders(
+  { ledger }: ResidencyState,
+  residents: Map<string, MutableResident>,
+): void {
   for (const { order, key } of ledger.openOrders.values()) {
     if (!key) continue;
     const known = residents.get(key);
@@ -30,17 +34,17 @@
 }
 
 /**
- * What others may see in an upstream's memory: the engine's report, with models that are on their way
- * and without those that are about to go.
+ * Returns the models in an upstream's memory as published to other processes: those that the engine reported,
+ * with models to be loaded as `loading` and models to be unloaded as `unloading`.
  */
 export function residentsOf(state: ResidencyState): Resident[] {
-  if (!state.isManaged) return allOf(state);
-  const residents = new Map<string, Listed>();
+  if (!state.isManaged) return catalogueResidents(state);
+  const residents = new Map<string, MutableResident>();
   for (const { key, model, version, sizeBytes, phase, adapter } of state.ledger.holdings.values()) {
     const base = `${model}@${version}`;
     if (adapter) residents.get(base)?.adapters.push(adapter);
     else residents.set(key, { model, version, sizeBytes, adapters: [], phase });
   }
-  promised(state, residents);
+  applyOpenOrders(state, residents);
   return [...residents.values()];
 }
--- a/src/sidecar/runonce/handon.ts
+++ b/src/sidecar/runonce/handovertable.ts
@@ -8,12 +8,12 @@
 const PIECE_BYTES = 1_048_576;
 const CALL_TIMEOUT_MS = 2000;
 
-/** A stop does not wait for more peers than this: most answer, and one that lives is enough. */
+/** Maximum number of peers that a stop tries. Most peers accept, and one that survives is enough. */
 const PEER_LIMIT = 4;
 
 type Ports = Pick<Context, 'settings' | 'clock' | 'log' | 'metrics' | 'board' | 'credentials'>;
 
-function offer(client: WorkClient, table: TicketTable, deadline: number): Promise<boolean> {
+function sendPiece(client: WorkClient, table: TicketTable, deadline: number): Promise<boolean> {
   return new Promise((resolve) => {
     client.handOver(table, new Metadata(), { deadline }, (error, reply?: HandOverReply) =>
       resolve(!error && !reply?.refusal),
@@ -21,8 +21,8 @@
   });
 }
 
-/** True if the peer has taken every piece. What it took of a refused table does no harm: it is true. */
-async function give(
+/** Returns true if the peer accepted every piece. Pieces of a refused table can stay there: they are correct. */
+async function sendTable(
   state: TableState,
   sidecarAddress: string,
   { clock, credentials }: Ports,
@@ -31,7 +31,7 @@
   try {
     for (const table of exportTable(state, PIECE_BYTES, clock.nowMs())) {
       const deadline = clock.wallMs() + CALL_TIMEOUT_MS;
-      if (!(await offer(client, table, deadline))) return false;
+      if (!(await sendPiece(client, table, deadline))) return false;
     }
     return true;
   } finally {
@@ -40,20 +40,23 @@
 }
 
 /**
- * Hands the table of a stopping sidecar to the first peer that takes it. If none does, its tickets
- * become unknown. All that is handed on has ended, so that two peers may hold it and agree.
+ * Hands the table of a stopping sidecar over to the first peer that accepts it. If none does, the outcomes of
+ * its tickets become unknown. All its requests have ended, so two peers with the same table cannot disagree.
  */
-export async function handOn(state: TableState, ports: Ports): Promise<void> {
+export async function handOverTable(state: TableState, ports: Ports): Promise<void> {
   const { log, metrics } = ports;
   const ticketCount = state.rows.size;
   for (const { upstream, sidecarAddress } of peersOf(ports).slice(0, PEER_LIMIT)) {
-    if (await give(state, sidecarAddress, ports)) {
-      log.info('ticket table handed on', { to: upstream, ticketCount });
+    if (await sendTable(state, sidecarAddress, ports)) {
+      log.info('ticket table handed over', { to: upstream, ticketCount });
       metrics.count('ticket.handed_on', ticketCount);
       return;
     }
-    log.warn('a peer did not take the ticket table', { peer: upstream });
+    log.warn('ticket table not accepted by peer', { peer: upstream });
   }
-  log.error('no peer took the ticket table: its tickets are unknown from now on', { ticketCount });
+  log.error(
+    'ticket table not handed over: no peer accepted it, its tickets are unknown from now on',
+    { ticketCount },
+  );
   metrics.count('ticket.abandoned', ticketCount);
 }
--- a/src/sidecar/runonce/index.ts
+++ b/src/sidecar/runonce/index.ts
@@ -1,3 +1,3 @@
-/** The shell of the run-once table: calls of entries, the clock, and hand-over on a planned stop. */
+/** Shell of the run-once table: calls from entries, expiry by the clock, and hand-over on a planned stop. */
 export { peersOf } from './peersof.js';
-export { Table } from './table.js';
+export { RunOnceTable } from './runoncetable.js';
--- a/src/sidecar/runonce/peersof.ts
+++ b/src/sidecar/runonce/peersof.ts
@@ -7,17 +7,17 @@
   readonly sidecarAddress: string;
 }
 
-/** Sidecars that could take a table over: those in other availability zones first. */
+/** Returns the sidecars that can take over a table, those in other availability zones first. */
 export function peersOf({ settings, board }: Pick<Context, 'settings' | 'board'>): Peer[] {
   const record = board.get(`document/${settings.service}`);
   const document = record && readDocument(record.value.toString());
   if (!document?.ok) return [];
-  const peers: (Peer & { readonly isNear: boolean })[] = [];
+  const peers: (Peer & { readonly isSameZone: boolean })[] = [];
   for (const { upstreams, availabilityZone } of document.val.groups) {
-    const isNear = availabilityZone === settings.availabilityZone;
+    const isSameZone = availabilityZone === settings.availabilityZone;
     for (const { id, sidecarAddress } of upstreams) {
-      if (id !== settings.upstream) peers.push({ upstream: id, sidecarAddress, isNear });
+      if (id !== settings.upstream) peers.push({ upstream: id, sidecarAddress, isSameZone });
     }
   }
-  return peers.sort((one, other) => Number(one.isNear) - Number(other.isNear));
+  return peers.sort((one, other) => Number(one.isSameZone) - Number(other.isSameZone));
 }
--- a/src/sidecar/runonce/publishheir.ts
+++ b/src/sidecar/runonce/publishheir.ts
@@ -3,7 +3,7 @@
 
 type Ports = Pick<Context, 'settings' | 'board' | 'log' | 'audit' | 'clock' | 'incarnation'>;
 
-/** Tells entries that the tickets of a stopped sidecar are answered here. */
+/** Publishes this sidecar as the heir of a stopped one: entries send requests with its tickets here. */
 export function publishHeir(ports: Ports, { upstream, incarnation, hops }: TicketTable): void {
   const { settings, board, log, audit, clock } = ports;
   const own = { upstream: settings.upstream, incarnation: ports.incarnation.current() };
--- a/src/sidecar/runonce/table.ts
+++ b/src/sidecar/runonce/runoncetable.ts
@@ -20,58 +20,58 @@
   type TicketTable,
 } from '../../wire/index.js';
 import type { Context, Permit, RunOnce } from '../part/index.js';
-import { handOn } from './handon.js';
-import { LiveTable } from './livetable.js';
+import { handOverTable } from './handovertable.js';
+import { TableRunner } from './tablerunner.js';
 import { publishHeir } from './publishheir.js';
 import type { TableSettings } from '../tablesettings/index.js';
-import { toEntry } from './toentry.js';
+import { toTicketEntry } from './toticketentry.js';
 
-/** 22 characters of nanoid's alphabet are 132 random bits. */
+/** 22 characters of nanoid's alphabet of 64 give 132 random bits. */
 const SECRET_LENGTH = 22;
 
-/** When a sidecar that has no incarnation yet may be asked again. */
-const JOINING_MS = 1000;
+/** Retry-after time while the sidecar has no incarnation. */
+const JOINING_RETRY_MS = 1000;
 
 const UNKNOWN = { executed: Executed.EXECUTED_UNKNOWN };
 
-/** For requests without a ticket: they run, and nothing is kept of them. */
-const FREE: Permit = { type: 'run', start: () => undefined, record: () => {} };
+/** Permit for requests without a ticket: they run, and nothing is recorded. */
+const UNRECORDED: Permit = { type: 'run', start: () => undefined, record: () => {} };
 
 function refusalOf(effect: TableEffect | undefined): Refusal | undefined {
   return effect?.type === 'refuse' ? effect.refusal : undefined;
 }
 
-/** The run-once table of this incarnation, as the request path and peers call it. */
-export class Table implements RunOnce {
-  private readonly live: LiveTable;
+/** The run-once table of this incarnation, with the calls of the request path and of peers. */
+export class RunOnceTable implements RunOnce {
+  private readonly live: TableRunner;
 
   constructor(
     private readonly ports: Context,
     limits: TableSettings,
   ) {
-    this.live = new LiveTable(ports, limits);
+    this.live = new TableRunner(ports, limits);
   }
 
   issue({ customer, service, validMs }: TicketRequest): TicketReply {
-    const refusal = this.unfit(service);
-    if (refusal) return this.unissued(refusal);
-    const callId = this.live.nextCall();
+    const refusal = this.issueRefusal(service);
+    if (refusal) return this.refuseTicket(refusal);
+    const callId = this.live.nextCallId();
     const secret = nanoid(SECRET_LENGTH);
     const whose = { customer: customer as CustomerId, service: service as ServiceId };
     const [effect] = this.live.step({ type: 'issue', callId, ...whose, validMs, secret });
-    return effect?.type === 'issued' ? effect.reply : this.unissued(refusalOf(effect));
+    return effect?.type === 'issued' ? effect.reply : this.refuseTicket(refusalOf(effect));
   }
 
   async begin(_requestId: string, head: RequestHead): Promise<Result<Permit, Refusal>> {
     const { ticket } = head;
-    if (!ticket) return result.Ok(FREE);
+    if (!ticket) return result.Ok(UNRECORDED);
     if (!this.live.state()) {
       const detail = 'This sidecar has no table of the incarnation that issued the ticket.';
       return result.Err(refuse('ticket-incarnation-gone', detail, UNKNOWN));
     }
     const effect = await this.live.ask({
       type: 'begin',
-      callId: this.live.nextCall(),
+      callId: this.live.nextCallId(),
       ticket,
       customer: head.customer as CustomerId,
       service: head.service as ServiceId,
@@ -81,7 +81,7 @@
     this.ports.metrics.count('ticket.begun', 1, { end });
     if (effect.type === 'refuse') return result.Err(effect.refusal);
     if (effect.type !== 'replay') return result.Ok(this.permit(ticket));
-    return result.Ok({ type: 'replay', answer: toEntry(head, effect.answer) });
+    return result.Ok({ type: 'replay', answer: toTicketEntry(head, effect.answer) });
   }
 
   leave(): void {
@@ -90,7 +90,7 @@
 
   async stop(): Promise<void> {
     const state = this.live.state();
-    if (state && state.rows.size > 0) await handOn(state, this.ports);
+    if (state && state.rows.size > 0) await handOverTable(state, this.ports);
   }
 
   adopt(table: TicketTable): HandOverReply {
@@ -100,7 +100,7 @@
     }
     const [effect] = this.live.step({
       type: 'adopt',
-      callId: this.live.nextCall(),
+      callId: this.live.nextCallId(),
       upstream: table.upstream as UpstreamId,
       incarnation: table.incarnation as Incarnation,
       table,
@@ -114,7 +114,7 @@
     return {
       type: 'run',
       start: () => {
-        const callId = this.live.nextCall();
+        const callId = this.live.nextCallId();
         const [effect] = this.live.step({ type: 'start', callId, ticket });
         return refusalOf(effect);
       },
@@ -130,17 +130,17 @@
     };
   }
 
-  private unfit(service: string): Refusal | undefined {
+  private issueRefusal(service: string): Refusal | undefined {
     const { settings, incarnation } = this.ports;
     if (service !== settings.service) {
       return refuse('service-unknown', `This sidecar does not serve "${service}".`);
     }
     if (this.live.state() && incarnation.isHeld()) return undefined;
     const detail = 'This sidecar holds no incarnation.';
-    return refuse('upstream-joining', detail, { retryAfterMs: JOINING_MS });
+    return refuse('upstream-joining', detail, { retryAfterMs: JOINING_RETRY_MS });
   }
 
-  private unissued(refusal: Refusal | undefined): TicketReply {
+  private refuseTicket(refusal: Refusal | undefined): TicketReply {
     this.ports.metrics.count('ticket.unissued', 1, { type: refusal?.type ?? 'none' });
     return { ticket: '', incarnation: 0, validMs: 0, refusal };
   }
--- a/src/sidecar/runonce/livetable.ts
+++ b/src/sidecar/runonce/tablerunner.ts
@@ -13,26 +13,26 @@
 
 type Ports = Pick<Context, 'settings' | 'clock' | 'metrics' | 'incarnation' | 'onStop'>;
 
-/** The table's core, driven by calls and by the clock. Each effect answers the call that it names. */
-export class LiveTable {
+/** Runs the core of the table on calls and on clock ticks. Each effect answers the call that it names. */
+export class TableRunner {
   private held: TableState | undefined;
 
   private calls = 0;
 
-  /** Calls that wait for the table's word. */
+  /** Calls that wait for their effect, by call id. */
   private readonly waiting = new Map<string, (effect: TableEffect) => void>();
 
-  private forgetSweep: () => void = () => {};
+  private cancelSweep: () => void = () => {};
 
   constructor(
     private readonly ports: Ports,
     private readonly limits: TableSettings,
   ) {
-    this.sweepLater();
-    ports.onStop(() => this.forgetSweep());
+    this.scheduleSweep();
+    ports.onStop(() => this.cancelSweep());
   }
 
-  /** The table; undefined until the sidecar's incarnation has been taken. */
+  /** Returns the table; undefined until the sidecar's incarnation is taken. */
   state(): TableState | undefined {
     if (this.held) return this.held;
     const { settings, incarnation, clock } = this.ports;
@@ -43,27 +43,27 @@
     return this.held;
   }
 
-  /** Names a call. */
-  nextCall(): string {
+  /** Returns a new call id. */
+  nextCallId(): string {
     this.calls += 1;
     return String(this.calls);
   }
 
-  /** Takes an event, and answers the calls that waited for what it brings. */
+  /** Applies an event and answers the waiting calls that its effects name. */
   step(event: TableEvent): readonly TableEffect[] {
     const before = this.state();
     if (!before) return [];
     const { state, effects } = stepTable(before, event, this.ports.clock.nowMs());
     this.held = state;
     for (const effect of effects) {
-      const tell = this.waiting.get(effect.callId);
+      const resolve = this.waiting.get(effect.callId);
       this.waiting.delete(effect.callId);
-      tell?.(effect);
+      resolve?.(effect);
     }
     return effects;
   }
 
-  /** Takes an event whose call may have to wait, and resolves with its answer. */
+  /** Applies an event whose call may have to wait. Resolves with the effect that answers the call. */
   ask(event: TableEvent & { readonly callId: string }): Promise<TableEffect> {
     return new Promise((resolve) => {
       this.waiting.set(event.callId, resolve);
@@ -71,12 +71,12 @@
     });
   }
 
-  private sweepLater(): void {
-    this.forgetSweep = this.ports.clock.after(SWEEP_MS, () => {
+  private scheduleSweep(): void {
+    this.cancelSweep = this.ports.clock.after(SWEEP_MS, () => {
       this.step({ type: 'sweep' });
       this.ports.metrics.gauge('ticket.count', this.held?.rows.size ?? 0);
       this.ports.metrics.gauge('ticket.bytes', this.held?.usedBytes ?? 0);
-      this.sweepLater();
+      this.scheduleSweep();
     });
   }
 }
--- a/src/sidecar/runonce/toentry.ts
+++ b/src/sidecar/runonce/toticketentry.ts
@@ -1,8 +1,8 @@
 import type { RecordedAnswer } from '../../core/ticket/index.js';
 import type { RequestHead, TicketEntry } from '../../wire/index.js';
 
-/** A recorded answer as the request path replays it. */
-export function toEntry(
+/** Converts a recorded answer into the form that the request path replays. */
+export function toTicketEntry(
   { ticket, customer, service }: RequestHead,
   answer: RecordedAnswer,
 ): TicketEntry {
--- a/src/sidecar/startsidecar.ts
+++ b/src/sidecar/startsidecar.ts
@@ -6,9 +6,9 @@
 import { callService } from './callservice.js';
 import { createContext } from './createcontext.js';
 import { describe } from './describe.js';
-import { Door } from './door.js';
+import { RequestRunner } from './requestrunner.js';
 import { Exchanges } from './exchanges.js';
-import { CacheHandOver, takeCache } from './handover/index.js';
+import { CacheHandOver, acceptCache } from './handover/index.js';
 import type { SidecarSettings } from './sidecarsettings.js';
 import { stopSidecar } from './stopsidecar.js';
 import { createParts } from './wiring/createparts.js';
@@ -19,13 +19,13 @@
 interface Sidecar {
   /** Port of its listener. */
   readonly port: number;
-  /** Refuses new work, waits for what is in flight (bound in settings), and closes. */
+  /** Refuses new requests, waits up to `drainTimeoutMs` for those in flight, and closes. */
   stop(): Promise<void>;
-  /** Gives what is still in flight a typed end at once. */
+  /** Ends all requests in flight at once, each with a typed failure. */
   expire(): void;
 }
 
-/** Starts a sidecar: the only door to its upstream. */
+/** Starts a sidecar. */
 export async function startSidecar(settings: SidecarSettings): Promise<Sidecar> {
   const engine =
     settings.upstreamType === 'engine'
@@ -35,21 +35,21 @@
   const context = createContext(settings, engine);
   const parts = createParts(context);
   const upstreamCall = engine ? callEngine(engine) : callService(service);
-  const door = new Door({ ...context, call: upstreamCall, parts });
+  const runner = new RequestRunner({ ...context, call: upstreamCall, parts });
   const handOver = new CacheHandOver(context);
-  // The host list may name this host as leaving long before the stop itself.
+  // The host list can show this host as leaving long before the stop begins.
   context.onLeaving(() => {
-    door.leave();
+    runner.stopAccepting();
     parts.runOnce.leave();
   });
-  const exchanges = new Exchanges(door, context.board);
+  const exchanges = new Exchanges(runner, context.board);
   const server = new Server(channelOptions.server);
   const handlers: WorkServer = {
     exchange: (stream) => exchanges.open(stream),
     issueTicket: (call, reply) => reply(null, parts.runOnce.issue(call.request)),
     handOver: (call, reply) => reply(null, parts.runOnce.adopt(call.request)),
     importCache: (call, reply) => {
-      void takeCache(context, parts.residency, call.request).then((taken) => reply(null, taken));
+      void acceptCache(context, parts.residency, call.request).then((taken) => reply(null, taken));
     },
     place: (call, reply) => reply(null, parts.residency.place(call.request)),
     rescue: (call, reply) => reply(null, parts.residency.rescue(call.request)),
@@ -66,7 +66,7 @@
   context.log.info('listening', { port, upstream: settings.upstream });
   let stopped: Promise<void> | undefined;
   const stop = async () => {
-    await stopSidecar({ context, parts, door, handOver, exchanges, server });
+    await stopSidecar({ context, parts, runner, handOver, exchanges, server });
     context.close();
     await engine?.close();
     await service.close();
@@ -79,7 +79,7 @@
     },
     expire() {
       handOver.giveUp();
-      door.expire();
+      runner.expire();
     },
   };
 }
--- a/src/sidecar/stopsidecar.ts
+++ b/src/sidecar/stopsidecar.ts
@@ -1,45 +1,45 @@
 import type { Server } from '@grpc/grpc-js';
-import type { Door } from './door.js';
+import type { RequestRunner } from './requestrunner.js';
 import type { Exchanges } from './exchanges.js';
 import type { CacheHandOver } from './handover/index.js';
 import type { Context } from './part/index.js';
 import type { Parts } from './parts.js';
 
-/** Time for entries to end their streams once nothing is in flight. */
-const CLOSE_WITHIN_MS = 1000;
+/** Time for entries to end their streams after the last request; then the server is shut down by force. */
+const CLOSE_TIMEOUT_MS = 1000;
 
-/** What a planned stop touches. */
-interface Stopping {
+/** Parts of the sidecar that a planned stop acts on. */
+interface StopOptions {
   readonly context: Context;
   readonly parts: Parts;
-  readonly door: Door;
+  readonly runner: RequestRunner;
   readonly handOver: CacheHandOver;
   readonly exchanges: Exchanges;
   readonly server: Server;
 }
 
 /**
- * Refuses new work, finishes what is in flight within the bound, hands the KV caches of what is then left
- * to other sidecars, and closes the listener.
+ * Refuses new requests and waits up to `drainTimeoutMs` for those in flight. Hands the KV caches of the remaining
+ * streams over to other sidecars, and closes the listener.
  */
-export async function stopSidecar(stopping: Stopping): Promise<void> {
-  const { context, parts, door, handOver, exchanges, server } = stopping;
-  context.log.info('stopping', { inFlight: door.inFlight() });
+export async function stopSidecar(stopping: StopOptions): Promise<void> {
+  const { context, parts, runner, handOver, exchanges, server } = stopping;
+  context.log.info('stopping', { inFlight: runner.inFlight() });
   parts.residency.leave?.();
   parts.runOnce.leave();
-  const idle = door.drain();
+  const idle = runner.drain();
   exchanges.leave();
-  const forget = context.clock.after(context.settings.drainTimeoutMs, () =>
-    door.expire((sessions) => handOver.begin(sessions)),
+  const cancelTimeout = context.clock.after(context.settings.drainTimeoutMs, () =>
+    runner.expire((sessions) => handOver.begin(sessions)),
   );
   await idle;
-  forget();
+  cancelTimeout();
   await parts.residency.stop?.();
   await parts.runOnce.stop();
-  const force = context.clock.after(CLOSE_WITHIN_MS, () => server.forceShutdown());
+  const cancelShutdown = context.clock.after(CLOSE_TIMEOUT_MS, () => server.forceShutdown());
   await new Promise<void>((resolve) => {
     server.tryShutdown(() => resolve());
   });
-  force();
+  cancelShutdown();
   context.log.info('stopped');
 }
--- a/src/sidecar/tablesettings/defaulttable.ts
+++ b/src/sidecar/tablesettings/defaulttable.ts
@@ -2,7 +2,7 @@
 
 const MEBIBYTE = 1_048_576;
 
-/** Bounds of a table whose settings name none: a quarter of what a process may take. */
+/** Default limits of the run-once table. `tableBytes` is a quarter of the memory that a process may use. */
 export const defaultTable: TableSettings = {
   tableBytes: 32 * MEBIBYTE,
   answerBytes: MEBIBYTE,
--- a/src/sidecar/tablesettings/index.ts
+++ b/src/sidecar/tablesettings/index.ts
@@ -1,4 +1,4 @@
-/** Bounds of the run-once table, apart from the table itself: settings need them, and the table needs settings. */
+/** Limits of the run-once table. They are a module of their own to avoid an import cycle of table and settings. */
 export { defaultTable } from './defaulttable.js';
 export { tableSchema } from './tableschema.js';
 export type { TableSettings } from './tablesettings.js';
--- a/src/sidecar/tablesettings/tableschema.ts
+++ b/src/sidecar/tablesettings/tableschema.ts
@@ -2,7 +2,7 @@
 
 const MIN_TABLE_BYTES = 65_536;
 
-/** Schema of a sidecar's `tickets` settings. */
+/** JSON schema of the `tickets` settings of a sidecar. */
 export const tableSchema = {
   type: 'object',
   additionalProperties: false,
--- a/src/sidecar/tablesettings/tablesettings.ts
+++ b/src/sidecar/tablesettings/tablesettings.ts
@@ -1,11 +1,11 @@
 import type { Ms } from '../../base/index.js';
 
-/** Bounds of a sidecar's run-once table. */
+/** Limits of a sidecar's run-once table. */
 export interface TableSettings {
   /** Memory for tickets and recorded answers. */
   readonly tableBytes: number;
-  /** Largest answer that is kept for repeats. */
+  /** Largest answer that is stored for repeats of its request. */
   readonly answerBytes: number;
-  /** Longest life of a ticket. */
+  /** Longest validity of a ticket. */
   readonly maxValidMs: Ms;
 }
--- a/src/sidecar/openresidency.ts
+++ b/src/sidecar/unmanagedresidency.ts
@@ -5,7 +5,7 @@
 import type { Residency } from './part/index.js';
 
 /** For upstreams whose memory is not managed, such as plain services. */
-export class OpenResidency implements Residency {
+export class UnmanagedResidency implements Residency {
   constructor(private readonly publisher?: { leave(): void }) {}
 
   pin(): Result<() => void, Refusal> {
--- a/src/sidecar/upstreamcall.ts
+++ b/src/sidecar/upstreamcall.ts
@@ -6,13 +6,13 @@
 interface Call {
   readonly requestId: string;
   readonly head: RequestHead;
-  /** Higher goes first in an engine. */
+  /** An engine runs higher values first. */
   readonly priority: number;
-  /** Set to take up a broken answer at the same engine. */
+  /** Set to resume a broken answer at the same engine. */
   readonly resumeToken?: string;
 }
 
-/** How an upstream is called for one request. */
+/** Calls the upstream for one request. */
 export type UpstreamCall = (
   call: Call,
   signal: AbortSignal,
--- a/src/sidecar/whenaborted.ts
+++ b/src/sidecar/whenaborted.ts
@@ -1,4 +1,4 @@
-/** Resolves once one of the signals is aborted. */
+/** Resolves when one of the signals is aborted. */
 export function whenAborted(...signals: readonly AbortSignal[]): Promise<void> {
   return new Promise((resolve) => {
     for (const signal of signals) {
--- a/src/sidecar/wiring/createadmission.ts
+++ b/src/sidecar/wiring/createadmission.ts
@@ -3,7 +3,7 @@
 import { QueueAdmission, policyOf } from '../admission/index.js';
 import type { Admission, Context, Residency } from '../part/index.js';
 
-/** Admission of this sidecar. It follows the service's document on the board without a restart. */
+/** Creates the admission. It applies changes of the service's document without a restart. */
 export function createAdmission(context: Context, residency: Residency): Admission {
   const { settings, clock, metrics, board, log, onStop } = context;
   const admission = new QueueAdmission({ clock, metrics, residency, policy: policyOf(settings) });
@@ -16,11 +16,11 @@
   const key = `document/${settings.service}`;
   const held = board.get(key);
   if (held) adopt(held);
-  const forget = board.onChange(key, (record) => {
+  const unsubscribe = board.onChange(key, (record) => {
     if (record.key === key) adopt(record);
   });
   onStop(() => {
-    forget();
+    unsubscribe();
     admission.stop();
   });
   return admission;
--- a/src/sidecar/wiring/createboard.ts
+++ b/src/sidecar/wiring/createboard.ts
@@ -7,12 +7,12 @@
 
 const SEED_LIMIT = 2 ** 31;
 
-/** The board of this sidecar: it holds its service's document and its own upstream's record. */
+/** Creates the board, which holds the service's document and the record of the sidecar's own upstream. */
 export function createBoard(
   context: Pick<Context, 'settings' | 'clock' | 'log' | 'metrics' | 'store'> & {
     readonly credentials: PeerCredentials;
     /** Called when the host list shows this host as leaving. */
-    readonly whenLeaving?: () => void;
+    readonly onLeaving?: () => void;
   },
 ): MeshBoard {
   const { settings, clock, log, metrics, store, credentials } = context;
@@ -30,7 +30,7 @@
     hasStore: Boolean(settings.store),
     hostList: hostList ? new HttpHostList(hostList) : undefined,
     hostListPollMs: hostList?.pollMs,
-    onLeaving: context.whenLeaving,
+    onLeaving: context.onLeaving,
     seed: randomInt(SEED_LIMIT),
   });
 }
--- a/src/sidecar/wiring/createparts.ts
+++ b/src/sidecar/wiring/createparts.ts
@@ -4,7 +4,7 @@
 import { createResidency } from './createresidency.js';
 import { createRunOnce } from './createrunonce.js';
 
-/** Builds each part of a sidecar from its context. */
+/** Creates the parts of a sidecar. */
 export function createParts(context: Context): Parts {
   const residency = createResidency(context);
   return {
--- a/src/sidecar/wiring/createrunonce.ts
+++ b/src/sidecar/wiring/createrunonce.ts
@@ -1,8 +1,8 @@
 import type { Context, RunOnce } from '../part/index.js';
-import { Table } from '../runonce/index.js';
+import { RunOnceTable } from '../runonce/index.js';
 import { defaultTable } from '../tablesettings/index.js';
 
-/** Run-at-most-once table of this sidecar. */
+/** Creates the run-at-most-once table. */
 export function createRunOnce(context: Context): RunOnce {
-  return new Table(context, { ...defaultTable, ...context.settings.tickets });
+  return new RunOnceTable(context, { ...defaultTable, ...context.settings.tickets });
 }
--- a/src/sidecar/work.ts
+++ b/src/sidecar/work.ts
@@ -2,7 +2,7 @@
 import {
   result,
   type AdapterId,
-  type Executed as ExecutedWord,
+  type Executed as ExecutedState,
   type ModelId,
   type RequestId,
 } from '../base/index.js';
@@ -10,33 +10,33 @@
 import { refuse } from '../core/refusal/index.js';
 import type { EngineFailure } from '../port/index.js';
 import { Executed, type Refusal, type RequestHead } from '../wire/index.js';
-import type { Outlet } from './outlet.js';
+import type { AnswerSink } from './answersink.js';
 import type { Permit, Slot } from './part/index.js';
-import { Recorder } from './recorder.js';
+import { AnswerRecorder } from './answerrecorder.js';
 import { replay } from './replay.js';
 import { whenAborted } from './whenaborted.js';
 import type { WorkContext } from './workcontext.js';
 
-type RecordEnd = Extract<Permit, { type: 'run' }>['record'];
+type RecordOutcome = Extract<Permit, { type: 'run' }>['record'];
 
-/** How often one answer is taken up again at the engine that broke it off. */
+/** How often one answer is resumed at the engine that broke it off. */
 const RESUME_LIMIT = 2;
 
-const EXECUTED: Readonly<Record<ExecutedWord, Executed>> = {
+const EXECUTED: Readonly<Record<ExecutedState, Executed>> = {
   no: Executed.EXECUTED_NO,
   unknown: Executed.EXECUTED_UNKNOWN,
   yes: Executed.EXECUTED_YES,
 };
 
-/** One request at this sidecar: admission, the upstream's answer, and its typed end. */
+/** One request at this sidecar, from admission through the upstream's answer to its end or refusal. */
 export class Work {
-  private readonly halt = new AbortController();
+  private readonly abortController = new AbortController();
 
-  private haltRefusal = refuse('cancelled', 'The caller has gone.');
+  private abortRefusal = refuse('cancelled', 'The caller has gone.');
 
-  private readonly recorder: Recorder;
+  private readonly recorder: AnswerRecorder;
 
-  /** Upstreams that are to go on with what a stop has cut off. */
+  /** Upstreams that can continue an answer that a stop has cut off. */
   private places: Promise<readonly string[]> | undefined;
 
   private started = false;
@@ -47,7 +47,7 @@
 
   private resumeToken: string | undefined;
 
-  private resumes = 0;
+  private resumeCount = 0;
 
   /** True once an earlier call to the upstream may have begun to run. */
   private sent = false;
@@ -56,16 +56,16 @@
     private readonly context: WorkContext,
     readonly requestId: string,
     private readonly head: RequestHead,
-    private readonly outlet: Outlet,
+    private readonly sink: AnswerSink,
   ) {
-    this.recorder = new Recorder(head);
-    // A ticket's run goes on without its caller, who may come back for the answer.
+    this.recorder = new AnswerRecorder(head);
+    // A request with a ticket continues without its caller, who may repeat it to get the answer.
     if (head.ticket) return;
-    if (outlet.gone.aborted) this.halt.abort();
-    else outlet.gone.addEventListener('abort', () => this.halt.abort(), { once: true });
+    if (sink.gone.aborted) this.abortController.abort();
+    else sink.gone.addEventListener('abort', () => this.abortController.abort(), { once: true });
   }
 
-  /** Runs to the typed end of the answer. */
+  /** Runs the request and sends its answer or refusal. */
   async run(): Promise<void> {
     const permit = await this.context.parts.runOnce.begin(this.requestId, this.head);
     if (permit.err) {
@@ -73,19 +73,19 @@
       return;
     }
     if (permit.val.type === 'replay') {
-      await replay(permit.val.answer, this.outlet);
+      await replay(permit.val.answer, this.sink);
       return;
     }
     const { start, record } = permit.val;
-    const refusal = await this.admit(start).catch((thrown: unknown) => {
-      // A part that throws must not leave its ticket running, with repeats that wait for ever.
+    const refusal = await this.admitAndRun(start).catch((thrown: unknown) => {
+      // If a part throws, its ticket must not stay in phase running: repeats would wait for ever.
       record({ type: 'unknown' });
       throw thrown;
     });
-    await this.conclude(refusal, record);
+    await this.finish(refusal, record);
   }
 
-  /** What another engine could go on from, if this is a stream that may run there too. */
+  /** Returns what another engine needs to continue the stream; undefined if it may not be continued. */
   session(): Session | undefined {
     const { head, requestId, tokenCount } = this;
     const { model, adapter, repeatable, streaming, ticket, promptTokens } = head;
@@ -99,28 +99,28 @@
   }
 
   /**
-   * Stops the run now, with this refusal if it has not begun to answer. An answer that has begun ends once
-   * it is known which upstreams can go on from it best.
+   * Aborts the request, with this refusal if its answer has not begun. An answer that has begun ends when the
+   * upstreams that can continue it best are known.
    */
   expire(refusal: Refusal, places?: Promise<readonly string[]>): void {
-    this.haltRefusal = refusal;
+    this.abortRefusal = refusal;
     this.places = places;
-    this.halt.abort();
+    this.abortController.abort();
   }
 
-  private async conclude(refusal: Refusal | undefined, record: RecordEnd): Promise<void> {
+  private async finish(refusal: Refusal | undefined, record: RecordOutcome): Promise<void> {
     if (!refusal) {
       record({ type: 'answered', answer: this.recorder.answer() });
       this.end('');
       return;
     }
-    const unrun = refusal.executed === Executed.EXECUTED_NO && !this.started;
-    record({ type: unrun ? 'none' : 'unknown' });
+    const hasNotRun = refusal.executed === Executed.EXECUTED_NO && !this.started;
+    record({ type: hasNotRun ? 'none' : 'unknown' });
     if (this.started) this.end(refusal.type, await this.places);
     else this.refuse(refusal);
   }
 
-  private async admit(start: () => Refusal | undefined): Promise<Refusal | undefined> {
+  private async admitAndRun(start: () => Refusal | undefined): Promise<Refusal | undefined> {
     const slot = await this.offer();
     if (slot.err) return slot.val;
     const { model, adapter } = this.head;
@@ -132,40 +132,42 @@
     try {
       const late = start();
       if (late) slot.val.release('cancelled');
-      return late ?? (await this.runLegs(slot.val));
+      return late ?? (await this.callUntilEnd(slot.val));
     } finally {
       unpin.val();
     }
   }
 
-  /** Waits for a slot, no longer than until the deadline. */
+  /** Waits for a slot until the deadline. */
   private async offer(): Promise<Result<Slot, Refusal>> {
     const late = new AbortController();
-    const { signal } = this.halt;
-    const forget = this.context.clock.after(this.head.deadlineMs, () => late.abort());
-    const either = AbortSignal.any([signal, late.signal]);
-    const offered = this.context.parts.admission.offer(this.requestId, this.head, either);
-    const slot = await Promise.race([offered, whenAborted(either)]);
-    forget();
-    if (slot && !either.aborted) return slot;
+    const { signal } = this.abortController;
+    const cancelDeadline = this.context.clock.after(this.head.deadlineMs, () => late.abort());
+    const stopSignal = AbortSignal.any([signal, late.signal]);
+    const offered = this.context.parts.admission.offer(this.requestId, this.head, stopSignal);
+    const slot = await Promise.race([offered, whenAborted(stopSignal)]);
+    cancelDeadline();
+    if (slot && !stopSignal.aborted) return slot;
     void offered.then((given) => given.ok && given.val.release('cancelled'));
-    if (signal.aborted) return result.Err(this.haltRefusal);
+    if (signal.aborted) return result.Err(this.abortRefusal);
     if (slot?.err) return slot;
-    return result.Err(refuse('deadline-passed', 'The deadline passed while it waited.'));
+    return result.Err(
+      refuse('deadline-passed', 'The deadline passed while the request was queued.'),
+    );
   }
 
-  /** Calls the upstream, and again after a cut or a pre-emption. Undefined when the answer is whole. */
-  private async runLegs(first: Slot): Promise<Refusal | undefined> {
+  /** Calls the upstream, again after a cut or a pre-emption. Returns undefined if the answer is complete. */
+  private async callUntilEnd(first: Slot): Promise<Refusal | undefined> {
     let slot = first;
     for (;;) {
-      const failure = await this.leg(slot);
+      const failure = await this.callOnce(slot);
       if (!failure) {
         slot.release('answered');
         return undefined;
       }
-      if (this.halt.signal.aborted) {
+      if (this.abortController.signal.aborted) {
         slot.release('cancelled');
-        return { ...this.haltRefusal, executed: Executed.EXECUTED_UNKNOWN };
+        return { ...this.abortRefusal, executed: Executed.EXECUTED_UNKNOWN };
       }
       if (slot.preempted.aborted) {
         slot.release('preempted');
@@ -182,22 +184,22 @@
   }
 
   private mayResume(failure: EngineFailure): boolean {
-    this.resumes += 1;
-    if (this.resumeToken === undefined || this.resumes > RESUME_LIMIT) return false;
+    this.resumeCount += 1;
+    if (this.resumeToken === undefined || this.resumeCount > RESUME_LIMIT) return false;
     this.context.metrics.count('answer.resumed');
     return failure.type === 'upstream-cut';
   }
 
-  /** One call to the upstream, passed on as it arrives. Undefined when it came to its end. */
-  private async leg(slot: Slot): Promise<EngineFailure | undefined> {
-    const signal = AbortSignal.any([this.halt.signal, slot.preempted]);
+  /** Calls the upstream once and forwards its answer as it arrives. Returns undefined if the answer is complete. */
+  private async callOnce(slot: Slot): Promise<EngineFailure | undefined> {
+    const signal = AbortSignal.any([this.abortController.signal, slot.preempted]);
     const { requestId, head, resumeToken } = this;
     const priority = slot.priority ?? 0;
     const stream = await this.context.call({ requestId, head, priority, resumeToken }, signal);
     if (stream.err) return stream.val;
     const { status, headers, pieces } = stream.val;
     if (!this.started) this.start(status, headers);
-    signal.addEventListener('abort', () => this.outlet.wake(), { once: true });
+    signal.addEventListener('abort', () => this.sink.wake(), { once: true });
     for await (const piece of pieces) {
       if (piece.err) return piece.val;
       const { payload, tokenCount } = piece.val;
@@ -205,9 +207,9 @@
       this.dataCount += 1;
       this.tokenCount += tokenCount;
       this.recorder.data(payload);
-      this.outlet.send({ $case: 'data', value: { payload, tokenCount } });
+      this.sink.send({ $case: 'data', value: { payload, tokenCount } });
       slot.progress(tokenCount);
-      await this.outlet.ready();
+      await this.sink.ready();
     }
     return undefined;
   }
@@ -215,10 +217,10 @@
   private start(status: number, headers: readonly { name: string; value: string }[]): void {
     this.started = true;
     this.recorder.start(status, headers);
-    this.outlet.send({ $case: 'start', value: { status, headers } });
+    this.sink.send({ $case: 'start', value: { status, headers } });
   }
 
-  /** A later call that was never sent says nothing of an earlier one. */
+  /** If an earlier call may have run, the failure of a later one does not prove that the request did not run. */
   private refusalOf({ type, detail, executed }: EngineFailure): Refusal {
     const known = this.sent ? Executed.EXECUTED_UNKNOWN : EXECUTED[executed];
     return refuse(type, detail, { executed: known });
@@ -226,8 +228,8 @@
 
   private refuse(refusal: Refusal): void {
     const load = refusal.load ?? this.context.parts.admission.load();
-    this.outlet.send({ $case: 'refusal', value: { ...refusal, load } });
-    this.told(refusal.type);
+    this.sink.send({ $case: 'refusal', value: { ...refusal, load } });
+    this.logEnd(refusal.type);
   }
 
   private end(failure: string, places: readonly string[] = []): void {
@@ -235,11 +237,11 @@
     const load = this.context.parts.admission.load();
     const resumeToken = this.resumeToken ?? '';
     const value = { dataCount, failure, load, resumeToken, candidates: [...places] };
-    this.outlet.send({ $case: 'end', value });
-    this.told(failure || 'answered');
+    this.sink.send({ $case: 'end', value });
+    this.logEnd(failure || 'answered');
   }
 
-  private told(end: string): void {
+  private logEnd(end: string): void {
     const { requestId, tokenCount } = this;
     this.context.metrics.count('request', 1, { end });
     if (tokenCount > 0) this.context.metrics.count('tokens', tokenCount);
--- a/src/sidecar/workcontext.ts
+++ b/src/sidecar/workcontext.ts
@@ -3,7 +3,7 @@
 import type { Parts } from './parts.js';
 import type { UpstreamCall } from './upstreamcall.js';
 
-/** What each piece of work at the upstream needs. */
+/** Dependencies of `Work`. */
 export interface WorkContext {
   readonly call: UpstreamCall;
   readonly parts: Parts;
--- a/src/wire/index.ts
+++ b/src/wire/index.ts
@@ -1,2 +1,2 @@
-/** Messages between the system's own processes, generated from proto/tarragonstile.proto. */
+/** Messages between the system's own processes. Generated from proto/tarragonstile.proto. */
 export * from './gen/tarragonstile.js';
--- a/standin/engine/endorder.ts
+++ b/standin/engine/endorder.ts
@@ -1,4 +1,4 @@
-import type { Change } from '../../src/base/index.js';
+import type { Transition } from '../../src/base/index.js';
 import type { Order } from '../../src/port/index.js';
 import type { EngineEffect } from './engineeffect.js';
 import type { EngineRequest, EngineResident, EngineState } from './enginestate.js';
@@ -49,7 +49,7 @@
 }
 
 /** An order is done. Answers of a model that has been unloaded under them are cut. */
-export function endOrder(state: EngineState, order: Order): Change<EngineState, EngineEffect> {
+export function endOrder(state: EngineState, order: Order): Transition<EngineState, EngineEffect> {
   const settledOrderIds = [...state.settledOrderIds, order.orderId];
   const ended = { ...END[order.action](state, order), settledOrderIds };
   if (!order.action.startsWith('unload')) return { state: ended, effects: [] };
--- a/standin/engine/restart.ts
+++ b/standin/engine/restart.ts
@@ -1,10 +1,10 @@
-import type { Change } from '../../src/base/index.js';
+import type { Transition } from '../../src/base/index.js';
 import { emptyEngine } from './emptyengine.js';
 import type { EngineEffect } from './engineeffect.js';
 import type { EngineState } from './enginestate.js';
 
 /** The engine loses all that it held but the highest fencing token; every answer that ran is cut. */
-export function restart(state: EngineState): Change<EngineState, EngineEffect> {
+export function restart(state: EngineState): Transition<EngineState, EngineEffect> {
   const live = [...state.requests.values()].filter(
     ({ phase }) => phase === 'running' || phase === 'waiting',
   );
--- a/standin/engine/runsteps.ts
+++ b/standin/engine/runsteps.ts
@@ -1,4 +1,4 @@
-import type { Change } from '../../src/base/index.js';
+import type { Transition } from '../../src/base/index.js';
 import type { EngineEffect } from './engineeffect.js';
 import type { EngineOptions } from './engineoptions.js';
 import type { EngineRequest, EngineState } from './enginestate.js';
@@ -33,7 +33,7 @@
   state: EngineState,
   options: EngineOptions,
   nowMs: number,
-): Change<EngineState, EngineEffect> {
+): Transition<EngineState, EngineEffect> {
   const requests = new Map(state.requests);
   const effects: EngineEffect[] = [];
   let { cache } = state;
@@ -60,7 +60,7 @@
 }
 
 /** Ends the running step: each running request has one token more. */
-function endStep(state: EngineState): Change<EngineState, EngineEffect> {
+function endStep(state: EngineState): Transition<EngineState, EngineEffect> {
   const requests = new Map(state.requests);
   const effects: EngineEffect[] = [];
   for (const request of state.requests.values()) {
@@ -85,7 +85,7 @@
   start: EngineState,
   options: EngineOptions,
   nowMs: number,
-): Change<EngineState, EngineEffect> {
+): Transition<EngineState, EngineEffect> {
   let state = start;
   const effects: EngineEffect[] = [];
   for (;;) {
--- a/standin/engine/stepengine.ts
+++ b/standin/engine/stepengine.ts
@@ -1,4 +1,4 @@
-import type { Change } from '../../src/base/index.js';
+import type { Transition } from '../../src/base/index.js';
 import { endOrder } from './endorder.js';
 import type { EngineEffect } from './engineeffect.js';
 import type { EngineEvent } from './engineevent.js';
@@ -9,7 +9,7 @@
 import { runSteps } from './runsteps.js';
 import { takeOrder } from './takeorder.js';
 
-type Changed = Change<EngineState, EngineEffect>;
+type Changed = Transition<EngineState, EngineEffect>;
 type Handlers = {
   readonly [Type in EngineEvent['type']]: (
     state: EngineState,
--- a/standin/engine/takeorder.ts
+++ b/standin/engine/takeorder.ts
@@ -1,10 +1,10 @@
-import type { Change } from '../../src/base/index.js';
+import type { Transition } from '../../src/base/index.js';
 import type { Order } from '../../src/port/index.js';
 import type { EngineEffect } from './engineeffect.js';
 import type { EngineOptions } from './engineoptions.js';
 import type { EngineResident, EngineState } from './enginestate.js';
 
-type Taken = Change<EngineState, EngineEffect>;
+type Taken = Transition<EngineState, EngineEffect>;
 type CountName = 'loads' | 'unloads' | 'adapterLoads' | 'adapterUnloads';
 type Take = (state: EngineState, order: Order, options: EngineOptions) => Taken;
 
--- a/test/link.test.ts
+++ b/test/link.test.ts
@@ -4,7 +4,7 @@
 import { systemClock, VirtualClock, type Clock } from '../src/base/index.js';
 import { SharedLink } from '../src/entry/link/index.js';
 import { Exchange } from '../src/sidecar/exchange.js';
-import type { Outlet } from '../src/sidecar/outlet.js';
+import type { AnswerSink } from '../src/sidecar/answersink.js';
 import { RequestHead, WorkService, type Frame, type FrameBatch } from '../src/wire/index.js';
 
 const head = RequestHead.fromPartial({ model: 'notice-1' });
@@ -40,7 +40,7 @@
 }
 
 /** Starts a sidecar's gRPC server that runs requests with the given function. */
-async function serve(run: (requestId: string, outlet: Outlet) => Promise<void>) {
+async function serve(run: (requestId: string, outlet: AnswerSink) => Promise<void>) {
   const server = new Server();
   const exchanges: Exchange[] = [];
   server.addService(WorkService, {
--- a/test/once.test.ts
+++ b/test/once.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import { check } from '../bench/once/check.js';
 import { World } from '../bench/once/world.js';
-import type { Change } from '../src/base/index.js';
+import type { Transition } from '../src/base/index.js';
 import { session, type Happening } from './support/session.js';
 
 const KEY_2 = 2;
@@ -30,7 +30,7 @@
 };
 
 /** Performs one act; its effects are the lines that it adds to the trace. */
-function step(world: World, act: Act): Change<World, string> {
+function step(world: World, act: Act): Transition<World, string> {
   const before = world.trace.length;
   ACTS[act.act](world, act as never);
   return { state: world, effects: world.trace.slice(before) };
--- a/test/oncedaemons.test.ts
+++ b/test/oncedaemons.test.ts
@@ -1,8 +1,8 @@
 import test from 'ava';
-import { OnceFleet } from './support/oncefleet.js';
+import { RunOnceFleet } from './support/runoncefleet.js';
 
-test('daemons: a confirmation runs once, whichever entry it is sent through', async (t) => {
-  const fleet = new OnceFleet();
+test('daemons: a request with a ticket or an idempotency key runs once, whichever entry it reaches', async (t) => {
+  const fleet = new RunOnceFleet();
   await fleet.start();
   const ticket = { 'tarragonstile-ticket': await fleet.ticket() };
   const first = await fleet.confirm(0, 'T-1', ticket);
@@ -15,7 +15,7 @@
 
   const key = { 'idempotency-key': 'transfer-3' };
   const both = await Promise.all([fleet.confirm(0, 'T-3', key), fleet.confirm(1, 'T-3', key)]);
-  for (const told of both) t.deepEqual(told, { status: 200, body: { done: 'T-3' } });
+  for (const reply of both) t.deepEqual(reply, { status: 200, body: { done: 'T-3' } });
   fleet.store.faults.loseAnswers = 2;
   const lost = await fleet.confirm(0, 'T-4', { 'idempotency-key': 'transfer-4' });
   t.deepEqual(lost, { status: 200, body: { done: 'T-4' } });
@@ -31,8 +31,8 @@
   await fleet.stop();
 });
 
-test('daemons: a stopped sidecar hands its table on, and the peer answers for it', async (t) => {
-  const fleet = new OnceFleet();
+test('daemons: a stopped sidecar hands its ticket table over, and the peer answers for its tickets', async (t) => {
+  const fleet = new RunOnceFleet();
   await fleet.start();
   const used = { 'tarragonstile-ticket': await fleet.ticket() };
   const place = /^register-(\d)/.exec(used['tarragonstile-ticket'])?.[1];
@@ -40,15 +40,15 @@
   let unused = await fleet.ticket();
   while (!unused.startsWith(`register-${place}`)) unused = await fleet.ticket();
   await fleet.stopSidecar(Number(place));
-  // Until the other entry has heard who took the table over, it cannot tell, and says so.
+  // Refusals that the other entry may give until it knows which sidecar has taken the table over.
   const gone = [
     'sidecar-unreachable',
     'sidecar-lost',
     'ticket-upstream-gone',
     'ticket-incarnation-gone',
   ];
-  const told = await fleet.confirmUntilNot(gone, 1, 'T-5', used);
-  t.deepEqual(told, { status: 200, body: { done: 'T-5' } });
+  const reply = await fleet.confirmUntilNot(gone, 1, 'T-5', used);
+  t.deepEqual(reply, { status: 200, body: { done: 'T-5' } });
   const cancelled = await fleet.confirmUntilNot(gone, 1, 'T-6', { 'tarragonstile-ticket': unused });
   t.is(cancelled.body.type, 'urn:tarragonstile:ticket-cancelled');
   t.is(cancelled.body.executed, 'no');
@@ -56,8 +56,8 @@
   await fleet.stop();
 });
 
-test('daemons: a plain upstream that the host list shows as leaving runs nothing new', async (t) => {
-  const fleet = new OnceFleet();
+test('daemons: a plain upstream that the host list shows as leaving runs no new requests', async (t) => {
+  const fleet = new RunOnceFleet();
   await fleet.start();
   const used = { 'tarragonstile-ticket': await fleet.ticket() };
   const place = /^register-(\d)/.exec(used['tarragonstile-ticket'])?.[1];
@@ -66,9 +66,9 @@
   while (!unused.startsWith(`register-${place}`)) unused = await fleet.ticket();
   fleet.listLeaving(Number(place));
   await fleet.untilLeaving(1, Number(place));
-  const told = await fleet.confirm(1, 'T-8', { 'tarragonstile-ticket': unused });
-  t.is(told.body.type, 'urn:tarragonstile:ticket-cancelled');
-  t.is(told.body.executed, 'no');
+  const reply = await fleet.confirm(1, 'T-8', { 'tarragonstile-ticket': unused });
+  t.is(reply.body.type, 'urn:tarragonstile:ticket-cancelled');
+  t.is(reply.body.executed, 'no');
   t.deepEqual((await fleet.confirm(1, 'T-7', used)).body, { done: 'T-7' });
   const next = await fleet.ticket();
   t.false(next.startsWith(`register-${place}`));
--- a/test/pathprocess.test.ts
+++ b/test/pathprocess.test.ts
@@ -6,7 +6,7 @@
 import { benchDocument } from '../bench/path/benchdocument.js';
 import { startBenchEntry } from '../bench/path/startbenchentry.js';
 import { Daemon } from '../demo/daemon.js';
-import { HeldEngine } from './support/heldengine.js';
+import { GatedEngine } from './support/gatedengine.js';
 import { startReading } from './support/reading.js';
 
 const SLOTS = 16;
@@ -28,7 +28,7 @@
 
 /** A held engine and a sidecar for each, and an entry, all daemons as processes. */
 async function startPath(count: number) {
-  const engines = Array.from({ length: count }, () => new HeldEngine());
+  const engines = Array.from({ length: count }, () => new GatedEngine());
   const urls = await Promise.all(engines.map((engine) => engine.listen()));
   const sidecars = await Promise.all(urls.map(startSidecar));
   const addresses = sidecars.map(({ port }) => `127.0.0.1:${port}`);
@@ -70,7 +70,7 @@
 test('a sidecar is killed under a stream: another continues it, byte for byte', async (t) => {
   const { engines, sidecars, entry, chat } = await startPath(2);
   const reading = await chat();
-  const killed = engines.findIndex(({ ran }) => ran === 1);
+  const killed = engines.findIndex(({ runCount: ran }) => ran === 1);
   await sidecars[killed]!.end('SIGKILL');
   engines[1 - killed]!.release();
   const events = (await reading.whole()).split('\n\n');
@@ -78,7 +78,7 @@
   t.is(events.length, 4);
   t.is(events[0], events[1]);
   t.is(events[2], 'data: [DONE]');
-  t.is(engines[1 - killed]!.ran, 1);
+  t.is(engines[1 - killed]!.runCount, 1);
   t.is(await entry.end('SIGTERM'), 0);
   await sidecars[1 - killed]!.end('SIGTERM');
   for (const engine of engines) engine.close();
--- a/test/pathsession.test.ts
+++ b/test/pathsession.test.ts
@@ -7,7 +7,7 @@
 import test from 'ava';
 import { request } from 'undici';
 import { FakeEngine, FakeService, fixedFaults } from '../standin/index.js';
-import { HeldEngine } from './support/heldengine.js';
+import { GatedEngine } from './support/gatedengine.js';
 import { openRig } from './support/pathrig.js';
 import { startReading } from './support/reading.js';
 import { Transcript } from './support/transcript.js';
@@ -192,7 +192,7 @@
 
 test('a planned stop of an entry finishes its streams and refuses new work', async (t) => {
   const seen = new Transcript();
-  const engine = new HeldEngine();
+  const engine = new GatedEngine();
   const rig = await openRig({ upstreams: [{ url: await engine.listen() }] });
   const readings = await Promise.all([rig.chat('a'), rig.chat('b')].map(read));
   const stopped = rig.stopEntry();
@@ -201,22 +201,22 @@
   engine.release();
   for (const reading of readings) t.true((await reading.whole()).endsWith('data: [DONE]\n\n'));
   await stopped;
-  t.is(engine.ran, 2);
+  t.is(engine.runCount, 2);
   await rig.close();
   engine.close();
   seen.check(t, 'path-stop-entry');
 });
 
 test('a planned stop of a sidecar finishes its streams; new work goes elsewhere', async (t) => {
-  const engines = [new HeldEngine(), new HeldEngine()];
+  const engines = [new GatedEngine(), new GatedEngine()];
   const urls = await Promise.all(engines.map((engine) => engine.listen()));
   const rig = await openRig({ upstreams: urls.map((url) => ({ url })) });
   const readings = await Promise.all(['a', 'b', 'c', 'd'].map((it) => rig.chat(it)).map(read));
   const stopped = rig.stopSidecar(0);
-  const [ran, ranElsewhere] = engines.map((engine) => engine.ran);
+  const [ran, ranElsewhere] = engines.map((engine) => engine.runCount);
   const later = await Promise.all(['e', 'f', 'g'].map((it) => rig.chat(it)).map(read));
   t.deepEqual(
-    engines.map((engine) => engine.ran),
+    engines.map((engine) => engine.runCount),
     [ran, ranElsewhere! + 3],
   );
   for (const engine of engines) engine.release();
--- a/test/routing.test.ts
+++ b/test/routing.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
 import fc from 'fast-check';
-import type { Change, Incarnation, RequestId, UpstreamId } from '../src/base/index.js';
+import type { Transition, Incarnation, RequestId, UpstreamId } from '../src/base/index.js';
 import { refuse } from '../src/core/refusal/index.js';
 import {
   createRouting,
@@ -25,7 +25,7 @@
 function drive(
   happenings: readonly Happening<RoutingEvent>[],
   from = start(),
-): Change<RoutingState, RoutingEffect> {
+): Transition<RoutingState, RoutingEffect> {
   let state = from;
   const effects: RoutingEffect[] = [];
   for (const { atMs, event } of happenings) {
--- a/test/selfreport.test.ts
+++ b/test/selfreport.test.ts
@@ -173,13 +173,13 @@
 });
 
 test('a backoff is a decimal number of seconds with status 503; anything else is reported as unreadable', (t) => {
-  t.is(decode(['Retry-After', '1.5'], 503, false).pauseMs, 1500);
-  t.is(decode(['Retry-After', '0'], 503, false).pauseMs, 0);
-  t.is(decode(['Retry-After', '3600'], 503, false).pauseMs, 3_600_000);
-  t.is(decode(['Retry-After', '9'], 429, false).pauseMs, undefined);
+  t.is(decode(['Retry-After', '1.5'], 503, false).backoffMs, 1500);
+  t.is(decode(['Retry-After', '0'], 503, false).backoffMs, 0);
+  t.is(decode(['Retry-After', '3600'], 503, false).backoffMs, 3_600_000);
+  t.is(decode(['Retry-After', '9'], 429, false).backoffMs, undefined);
   for (const text of ['Thu, 03 Dec 2026 07:00:00 GMT', '-1', 'soon']) {
     const report = decode(['Retry-After', text], 503, false);
-    t.is(report.pauseMs, undefined, text);
+    t.is(report.backoffMs, undefined, text);
     t.true(report.unreadable.length > 0, text);
   }
 });
@@ -187,8 +187,8 @@
 test('a backoff lasts until its end, the latest of several, and does not apply to another incarnation', (t) => {
   const clock = new VirtualClock();
   const gate = gateWith(clock);
-  gate.onAnswer(upstream(100), reportOf(UNSAID, { pauseMs: 2000 }));
-  gate.onAnswer(upstream(100), reportOf(UNSAID, { pauseMs: 500 }));
+  gate.onAnswer(upstream(100), reportOf(UNSAID, { backoffMs: 2000 }));
+  gate.onAnswer(upstream(100), reportOf(UNSAID, { backoffMs: 500 }));
   t.deepEqual(gate.blockOf(upstream(100), 600), { reason: 'paused', opensInMs: 1400 });
   t.is(gate.blockOf(upstream(200), 600), undefined);
   t.is(gate.blockOf(upstream(100), 2000), undefined);
@@ -196,6 +196,6 @@
 
 test('a backoff concerns one entry and is not shared with others', (t) => {
   const gate = gateWith(new VirtualClock());
-  gate.onAnswer(upstream(), reportOf(UNSAID, { pauseMs: 2000 }));
+  gate.onAnswer(upstream(), reportOf(UNSAID, { backoffMs: 2000 }));
   t.deepEqual(gate.report(), []);
 });
--- a/test/support/heldengine.ts
+++ b/test/support/gatedengine.ts
@@ -1,10 +1,10 @@
 import { createServer, type ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
 
-/** An engine without admin paths that sends the first event of each answer, and the rest when it is told to. */
-export class HeldEngine {
-  /** Requests that began to run. */
-  ran = 0;
+/** An engine without admin paths. It sends the first event of each answer, and the rest after `release`. */
+export class GatedEngine {
+  /** Number of requests that began to run. */
+  runCount = 0;
 
   private readonly held = new Set<ServerResponse>();
 
@@ -15,7 +15,7 @@
       response.writeHead(404).end();
       return;
     }
-    this.ran += 1;
+    this.runCount += 1;
     const id = String(request.headers['x-request-id']);
     response.setHeader('content-type', 'text/event-stream');
     response.write(`data: ${JSON.stringify({ id, choices: [{ delta: { content: 'a' } }] })}\n\n`);
@@ -30,7 +30,7 @@
     return `http://127.0.0.1:${(this.server.address() as AddressInfo).port}`;
   }
 
-  /** Ends every answer that has begun, and those that begin from now on. */
+  /** Completes all open answers, and from now on every answer as soon as it begins. */
   release(): void {
     this.released = true;
     for (const response of this.held) response.end('data: [DONE]\n\n');
--- a/test/support/handoverfleet.ts
+++ b/test/support/handoverfleet.ts
@@ -10,7 +10,7 @@
 import { freePort } from './freeport.js';
 import { writeDocument } from './meshnode.js';
 import { startReading } from './reading.js';
-import { unheldClock } from './unheldclock.js';
+import { unrefClock } from './unrefclock.js';
 
 const KEY = 'clerk-key';
 const POLL_MS = 20;
@@ -62,7 +62,7 @@
 
   private readonly engines = [0, 1, 2].map(() => new FakeEngine({ tokenMs: 10, tokens: 100 }));
 
-  private readonly store = new MemoryStore({ clock: unheldClock });
+  private readonly store = new MemoryStore({ clock: unrefClock });
 
   private readonly storeServer = new StoreServer(this.store);
 
--- a/test/support/oncefleet.ts
+++ b/test/support/runoncefleet.ts
@@ -5,7 +5,7 @@
 import { FakeHostList, FakeService, MemoryStore, StoreServer } from '../../standin/index.js';
 import { freePort } from './freeport.js';
 import { writeDocument } from './meshnode.js';
-import { unheldClock } from './unheldclock.js';
+import { unrefClock } from './unrefclock.js';
 
 const KEY = 'clerk-key';
 const POLL_MS = 20;
@@ -40,29 +40,29 @@
   };
 }
 
-/** What a caller got. */
-interface Told {
+/** Answer that a caller received. */
+interface CallerReply {
   readonly status: number;
   readonly body: { readonly type?: string; readonly executed?: string; readonly done?: string };
 }
 
-/** What an entry has heard of an upstream. */
-interface Heard {
+/** An upstream in the status of an entry. */
+interface UpstreamStatus {
   readonly upstream: string;
   readonly phase: string;
 }
 
-/** Two entries and two sidecars as daemons in this process, before one plain service. */
-export class OnceFleet {
+/** Two entries and two sidecars, run as daemons in this process in front of one plain service. */
+export class RunOnceFleet {
   readonly service = new FakeService();
 
-  readonly store = new MemoryStore({ clock: unheldClock });
+  readonly store = new MemoryStore({ clock: unrefClock });
 
   readonly sidecars: Awaited<ReturnType<typeof startSidecar>>[] = [];
 
   readonly entries: Awaited<ReturnType<typeof startEntry>>[] = [];
 
-  /** Shows one sidecar's host as leaving in the platform's list; -1 shows none. */
+  /** Marks the host of one sidecar as leaving in the platform's host list; -1 marks none. */
   listLeaving: (sidecar: number) => void = () => {};
 
   private readonly storeServer = new StoreServer(this.store);
@@ -72,7 +72,7 @@
   async start(): Promise<void> {
     const upstreamUrl = await this.service.listen();
     const urls = [await this.storeServer.listen()];
-    // A store that stands in the same process answers late where the machine is crowded: 500 ms were passed once.
+    // The store runs in this process. On a loaded machine it has taken more than 500 ms to answer.
     const store = { urls, readsPerSecond: 500, writesPerSecond: 500, timeoutMs: 5000 };
     const hostList = { url: await this.hosts.listen(), pollMs: 100, timeoutMs: 500 };
     const meshes = [`127.0.0.1:${await freePort()}`, `127.0.0.1:${await freePort()}`];
@@ -100,7 +100,7 @@
     for (const index of meshes.keys()) await this.untilReady(index);
   }
 
-  /** A ticket from the first entry whose sidecars are ready. */
+  /** Returns a ticket issued through the first entry; retries until a sidecar is ready to issue one. */
   async ticket(): Promise<string> {
     const path = `${this.urlOf(0)}/v1/tickets`;
     const headers = { authorization: `Bearer ${KEY}` };
@@ -113,30 +113,34 @@
     }
   }
 
-  /** Confirms a transfer through one of the entries. */
-  async confirm(entry: number, transferId: string, headers: Record<string, string>): Promise<Told> {
+  /** Sends the confirmation of a transfer through one of the entries. */
+  async confirm(
+    entry: number,
+    transferId: string,
+    headers: Record<string, string>,
+  ): Promise<CallerReply> {
     const answer = await request(`${this.urlOf(entry)}/services/register/transfers`, {
       method: 'POST',
       headers: { ...headers, authorization: `Bearer ${KEY}` },
       body: JSON.stringify({ transferId }),
     });
-    return { status: answer.statusCode, body: (await answer.body.json()) as Told['body'] };
+    return { status: answer.statusCode, body: (await answer.body.json()) as CallerReply['body'] };
   }
 
-  /** Asks again until the caller is told something other than these refusals. */
+  /** Repeats a confirmation until the answer is none of these refusals. */
   async confirmUntilNot(
     types: readonly string[],
-    ...ask: Parameters<OnceFleet['confirm']>
-  ): Promise<Told> {
-    const passing = types.map((type) => `urn:tarragonstile:${type}`);
+    ...ask: Parameters<RunOnceFleet['confirm']>
+  ): Promise<CallerReply> {
+    const transientTypes = types.map((type) => `urn:tarragonstile:${type}`);
     for (;;) {
-      const told = await this.confirm(...ask);
-      if (!passing.includes(told.body.type ?? '')) return told;
+      const reply = await this.confirm(...ask);
+      if (!transientTypes.includes(reply.body.type ?? '')) return reply;
       await wait(POLL_MS);
     }
   }
 
-  /** Stops one sidecar as planned. */
+  /** Stops one sidecar by a planned stop. */
   async stopSidecar(index: number): Promise<void> {
     const [sidecar] = this.sidecars.splice(index, 1);
     await sidecar?.stop();
@@ -150,7 +154,7 @@
     await this.storeServer.close();
   }
 
-  /** An entry that has not caught up with its peers takes no requests yet. */
+  /** Waits until an entry has caught up with its peers; before that it accepts no requests. */
   private async untilReady(entry: number): Promise<void> {
     for (;;) {
       const answer = await request(`${this.urlOf(entry)}/readyz`);
@@ -160,11 +164,11 @@
     }
   }
 
-  /** Waits until an entry has heard from a sidecar that it leaves. */
+  /** Waits until an entry lists the upstream of a sidecar as leaving. */
   async untilLeaving(entry: number, sidecar: number): Promise<void> {
     for (;;) {
       const answer = await request(`${this.urlOf(entry)}/statusz`);
-      const { upstreams } = (await answer.body.json()) as { upstreams: readonly Heard[] };
+      const { upstreams } = (await answer.body.json()) as { upstreams: readonly UpstreamStatus[] };
       const heard = upstreams.find(({ upstream }) => upstream === `register-${sidecar}`);
       if (heard?.phase === 'leaving') return;
       await wait(POLL_MS);
--- a/test/support/stepsidecar.ts
+++ b/test/support/stepsidecar.ts
@@ -1,4 +1,4 @@
-import type { Change, Ms } from '../../src/base/index.js';
+import type { Transition, Ms } from '../../src/base/index.js';
 import {
   emptyFence,
   stepFence,
@@ -26,7 +26,7 @@
   | Extract<FenceEffect, { type: 'read-key' | 'swap-key' }>
   | Exclude<ResidencyEffect, { type: 'intents' }>;
 
-type Changed = Change<SidecarState, SidecarEffect>;
+type Changed = Transition<SidecarState, SidecarEffect>;
 
 export const newSidecar = (owner: string): SidecarState => ({
   fence: emptyFence(owner),
--- a/test/support/unheldclock.ts
+++ b/test/support/unrefclock.ts
@@ -1,7 +1,7 @@
 import { systemClock, type Clock } from '../../src/base/index.js';
 
-/** Leases outlive the test; their timers must not hold up its end. */
-export const unheldClock: Clock = {
+/** A clock whose timers do not keep the process alive: leases outlive the test. */
+export const unrefClock: Clock = {
   ...systemClock,
   after(delayMs, act) {
     const timer = setTimeout(act, delayMs).unref();
--- a/test/work.test.ts
+++ b/test/work.test.ts
@@ -2,7 +2,7 @@
 import { result, systemClock, VirtualClock, type Clock } from '../src/base/index.js';
 import { refuse } from '../src/core/refusal/index.js';
 import type { AnswerStream, EngineFailure } from '../src/port/index.js';
-import type { Outlet } from '../src/sidecar/outlet.js';
+import type { AnswerSink } from '../src/sidecar/answersink.js';
 import type { Permit, Slot } from '../src/sidecar/part/index.js';
 import type { UpstreamCall } from '../src/sidecar/upstreamcall.js';
 import { Work } from '../src/sidecar/work.js';
@@ -15,8 +15,8 @@
 const load = { running: 0, queued: 0, slots: 1, estimatedWaitMs: 0, ageMs: 0 };
 const cut: EngineFailure = { type: 'upstream-cut', detail: 'Cut.', executed: 'unknown' };
 
-/** An outlet that keeps what it is sent, in a form that is easy to compare. */
-class Kept implements Outlet {
+/** A sink that records the frames it is sent as strings. */
+class RecordingSink implements AnswerSink {
   readonly sent: string[] = [];
 
   readonly leave = new AbortController();
@@ -24,13 +24,13 @@
   readonly gone = this.leave.signal;
 
   send(body: Body): void {
-    const show: Partial<Record<Body['$case'], () => string>> = {
+    const format: Partial<Record<Body['$case'], () => string>> = {
       data: () => (body.$case === 'data' ? String(body.value.payload) : ''),
       end: () => (body.$case === 'end' ? this.end(body.value) : ''),
       refusal: () =>
         body.$case === 'refusal' ? `${body.value.type} ${Executed[body.value.executed]}` : '',
     };
-    this.sent.push(show[body.$case]?.() ?? body.$case);
+    this.sent.push(format[body.$case]?.() ?? body.$case);
   }
 
   private end({ dataCount, failure, candidates }: AnswerEnd): string {
@@ -44,7 +44,7 @@
   wake(): void {}
 }
 
-/** Gives the pieces, each with its own resume token, and then the failure, if any. */
+/** Returns an answer of these pieces, each with its own resume token, followed by the failure, if any. */
 function answer(pieces: readonly string[], failure?: EngineFailure): AnswerStream {
   async function* read() {
     for (const piece of pieces) {
@@ -63,13 +63,13 @@
   readonly ticket?: string;
 }
 
-function workOf({ call, offer, clock = systemClock, ticket = '' }: Setup) {
+function createWork({ call, offer, clock = systemClock, ticket = '' }: Setup) {
   const released: string[] = [];
   const records: string[] = [];
   const slot = (): Slot => ({
     preempted: new AbortController().signal,
     progress: () => {},
-    release: (how) => released.push(how),
+    release: (outcome) => released.push(outcome),
   });
   const permit: Permit = {
     type: 'run',
@@ -81,10 +81,10 @@
     residency: { pin: () => result.Ok(() => released.push('unpinned')) },
     runOnce: { begin: () => Promise.resolve(result.Ok(permit)) },
   };
-  const outlet = new Kept();
+  const sink = new RecordingSink();
   const head = RequestHead.fromPartial({ deadlineMs: 100, ticket });
   const context = { call, clock, metrics, log, parts: parts as never };
-  return { work: new Work(context, 'r1', head, outlet), outlet, released, records };
+  return { work: new Work(context, 'r1', head, sink), sink, released, records };
 }
 
 test('a cut answer is resumed after its last piece', async (t) => {
@@ -93,61 +93,61 @@
     tokens.push(resumeToken);
     return Promise.resolve(result.Ok(resumeToken ? answer(['c']) : answer(['a', 'b'], cut)));
   };
-  const { work, outlet, released } = workOf({ call });
+  const { work, sink, released } = createWork({ call });
   await work.run();
   t.deepEqual(tokens, [undefined, 'b']);
-  t.deepEqual(outlet.sent, ['start', 'a', 'b', 'c', 'end 3 ']);
+  t.deepEqual(sink.sent, ['start', 'a', 'b', 'c', 'end 3 ']);
   t.deepEqual(released, ['answered', 'unpinned']);
 });
 
-test('a pre-empted answer gives its place back, and is resumed when it has one again', async (t) => {
+test('a pre-empted answer releases its slot and is resumed in the next slot', async (t) => {
   const preempt = new AbortController();
   const released: string[] = [];
-  let offers = 0;
+  let offerCount = 0;
   const offer = () => {
-    offers += 1;
-    const preempted = offers === 1 ? preempt.signal : new AbortController().signal;
+    offerCount += 1;
+    const preempted = offerCount === 1 ? preempt.signal : new AbortController().signal;
     const progress = () => preempt.abort();
     return Promise.resolve(
-      result.Ok<Slot>({ preempted, progress, release: (how) => released.push(how) }),
+      result.Ok<Slot>({ preempted, progress, release: (outcome) => released.push(outcome) }),
     );
   };
   const call: UpstreamCall = ({ resumeToken }) =>
     Promise.resolve(result.Ok(resumeToken ? answer(['b']) : answer(['a'], cut)));
-  const { work, outlet } = workOf({ call, offer });
+  const { work, sink } = createWork({ call, offer });
   await work.run();
-  t.deepEqual(outlet.sent, ['start', 'a', 'b', 'end 2 ']);
+  t.deepEqual(sink.sent, ['start', 'a', 'b', 'end 2 ']);
   t.deepEqual(released, ['preempted', 'answered']);
 });
 
-test('what waits past its deadline is refused and has not run', async (t) => {
+test('a request that is queued until its deadline is refused as not executed', async (t) => {
   const clock = new VirtualClock();
   const call: UpstreamCall = () => Promise.resolve(result.Ok(answer([])));
-  const { work, outlet, records } = workOf({ call, clock, offer: () => new Promise(() => {}) });
+  const { work, sink, records } = createWork({ call, clock, offer: () => new Promise(() => {}) });
   const ended = work.run();
   await Promise.resolve();
   await Promise.resolve();
   clock.advanceTo(100);
   await ended;
-  t.deepEqual(outlet.sent, ['deadline-passed EXECUTED_NO']);
+  t.deepEqual(sink.sent, ['deadline-passed EXECUTED_NO']);
   t.deepEqual(records, ['none']);
 });
 
-test('at the end of a stop, what runs ends as unknown', async (t) => {
+test('a request that runs when the drain times out ends as executed unknown', async (t) => {
   const call: UpstreamCall = (_call, signal) =>
     new Promise((resolve) => {
       signal.addEventListener('abort', () => resolve(result.Err(cut)));
     });
-  const { work, outlet, records } = workOf({ call });
+  const { work, sink, records } = createWork({ call });
   const ended = work.run();
   await new Promise(setImmediate);
   work.expire(refuse('upstream-leaving', 'Leaving.'));
   await ended;
-  t.deepEqual(outlet.sent, ['upstream-leaving EXECUTED_UNKNOWN']);
+  t.deepEqual(sink.sent, ['upstream-leaving EXECUTED_UNKNOWN']);
   t.deepEqual(records, ['unknown']);
 });
 
-test('an answer that a stop cuts off ends when its next place is known', async (t) => {
+test('an answer that a stop cuts off ends when the upstreams that can continue it are known', async (t) => {
   async function* read(signal: AbortSignal) {
     yield result.Ok({ payload: Buffer.from('a'), tokenCount: 1, resumeToken: 'a' });
     await new Promise((resolve) => {
@@ -157,7 +157,7 @@
   }
   const call: UpstreamCall = (_call, signal) =>
     Promise.resolve(result.Ok({ status: 200, headers: [], pieces: read(signal) }));
-  const { work, outlet } = workOf({ call });
+  const { work, sink } = createWork({ call });
   const ended = work.run();
   await new Promise(setImmediate);
   let place = (_upstreams: string[]) => {};
@@ -166,16 +166,16 @@
   });
   work.expire(refuse('upstream-leaving', 'Leaving.'), places);
   await new Promise(setImmediate);
-  t.deepEqual(outlet.sent, ['start', 'a']);
+  t.deepEqual(sink.sent, ['start', 'a']);
   place(['u2']);
   await ended;
-  t.deepEqual(outlet.sent, ['start', 'a', 'end 1 upstream-leaving u2']);
+  t.deepEqual(sink.sent, ['start', 'a', 'end 1 upstream-leaving u2']);
 });
 
-test('a run under a ticket goes on when its caller leaves, and is recorded', async (t) => {
+test('a request with a ticket runs on and is recorded when its caller disconnects', async (t) => {
   const call: UpstreamCall = () => Promise.resolve(result.Ok(answer(['done'])));
-  const { work, outlet, records } = workOf({ call, ticket: 't1' });
-  outlet.leave.abort();
+  const { work, sink, records } = createWork({ call, ticket: 't1' });
+  sink.leave.abort();
   await work.run();
   t.deepEqual(records, ['answered']);
 });
