--- a/scripts/bundle.js
+++ b/scripts/bundle.js
@@ -1,4 +1,4 @@
-// Bundles the entry of the prepared platform into one file: a start reads one file in place of hundreds.
+// Bundles platform/main.ts into one file, so that a start reads one file instead of hundreds.
 import { build } from 'esbuild';
 
 await build({
@@ -11,9 +11,9 @@
   target: 'node20',
   format: 'esm',
   mainFields: ['module', 'main'],
-  // It hands its own `require` on, which a bundle cannot follow.
+  // Passes its own `require` on, which a bundler cannot resolve.
   external: ['ts-results'],
-  // Libraries in CommonJS ask for Node's own modules by `require`.
+  // CommonJS libraries load Node.js modules with `require`, which ES modules lack.
   banner: {
     js: "import{createRequire as tsRequire}from'node:module';const require=tsRequire(import.meta.url);",
   },
--- a/scripts/judge.js
+++ b/scripts/judge.js
@@ -1,13 +1,13 @@
-// Reads the tests' TAP from standard input and judges it beside KNOWN-RED.txt: exit code 0 only if every
-// test passed but those that are listed there, and each listed one is there and failed.
+// Checks the TAP output of a test run, read from standard input, against KNOWN-RED.txt. Exits with 0 only if every
+// test that is not listed there passed, and every listed test ran and failed.
 import { existsSync, readFileSync } from 'node:fs';
 
 const [knownFile = 'KNOWN-RED.txt', runnerExit = '0'] = process.argv.slice(2);
 
-/** What a run by hand showed and no test of CI runs: it is printed, and hides no test. */
+/** Prefix of faults found by hand that no CI test covers. They are printed and excuse no failing test. */
 const BY_HAND = 'by hand:';
 
-/** One line a test: its title as the runner prints it, its cause, its issue, parted by bars. */
+/** Reads one line per test: title as printed by the test runner, cause and issue, separated by `|`. */
 function readKnown(file) {
   if (!existsSync(file)) return new Map();
   const lines = readFileSync(file, 'utf8')
--- a/src/command/apply.ts
+++ b/src/command/apply.ts
@@ -3,9 +3,9 @@
 import { ChangeCommand } from './operator/changecommand.js';
 import { checkFile } from './operator/checkfile.js';
 
-/** `tarragonstile apply`: brings a document into force. */
+/** `tarragonstile apply`: puts a document into force. */
 export default class ApplyCommand extends ChangeCommand {
-  static override description = 'Checks a document and brings it into force.';
+  static override description = 'Checks a document and puts it into force.';
 
   static override args = { file: Args.string({ required: true, description: 'the document' }) };
 
--- a/src/command/check.ts
+++ b/src/command/check.ts
@@ -3,18 +3,18 @@
 import { checkFile } from './operator/checkfile.js';
 import { OperatorCommand } from './operator/operatorcommand.js';
 
-/** `tarragonstile check`: all that `apply` checks, without a write. */
+/** `tarragonstile check`: runs the checks of `apply` without writing. */
 export default class CheckCommand extends OperatorCommand {
   static override description =
-    'Checks a document; with a store, also against what is in force there.';
+    'Checks a document; with a store, also against the document in force.';
 
   static override args = { file: Args.string({ required: true, description: 'the document' }) };
 
   async run(): Promise<unknown> {
     const { args, flags } = await this.parse(CheckCommand);
-    const alone = checkFile(args.file, {});
-    if (alone.err) return this.stop(alone.val);
-    const { document } = alone.val;
+    const parsed = checkFile(args.file, {});
+    if (parsed.err) return this.stop(parsed.val);
+    const { document } = parsed.val;
     const settings = this.settingsFrom(flags);
     const team = settings.team ?? undefined;
     const previous = settings.store ? await this.inForce(flags, document) : undefined;
@@ -22,12 +22,12 @@
     if (checked.err) return this.stop(checked.val);
     const { service, models, adapters, groups } = document;
     const upstreams = groups.flatMap((group) => group.upstreams).length;
-    const told = { service, models: models.length, adapters: adapters.length, upstreams };
+    const summary = { service, models: models.length, adapters: adapters.length, upstreams };
     this.log(
-      `${args.file}: ${service}: ${told.models} models, ${told.adapters} adapters, ` +
-        `${upstreams} upstreams: no fault found`,
+      `${args.file}: ${service}: ${summary.models} models, ${summary.adapters} adapters, ` +
+        `${upstreams} upstreams: valid`,
     );
-    return told;
+    return summary;
   }
 
   private async inForce(
--- a/src/command/diff.ts
+++ b/src/command/diff.ts
@@ -3,9 +3,9 @@
 import { checkFile } from './operator/checkfile.js';
 import { OperatorCommand } from './operator/operatorcommand.js';
 
-/** `tarragonstile diff`: what `apply` would change. */
+/** `tarragonstile diff`: prints what `apply` would change. */
 export default class DiffCommand extends OperatorCommand {
-  static override description = 'Prints what a document changes in the one in force.';
+  static override description = 'Prints the difference between the document in force and a file.';
 
   static override args = { file: Args.string({ required: true, description: 'the document' }) };
 
--- a/src/command/entry.ts
+++ b/src/command/entry.ts
@@ -2,9 +2,9 @@
 import { FailureError } from '../base/index.js';
 import { entrySchema, startEntry } from '../entry/index.js';
 import { loadSettings } from '../shell/settings/index.js';
-import { untilStopped } from './untilstopped.js';
+import { runUntilStopped } from './rununtilstopped.js';
 
-/** `tarragonstile entry`: runs an entry until SIGTERM. */
+/** `tarragonstile entry`: runs an entry until SIGTERM or SIGINT. */
 export default class EntryCommand extends Command {
   static override description = 'Runs an entry until SIGTERM or SIGINT.';
 
@@ -16,6 +16,6 @@
     const { flags } = await this.parse(EntryCommand);
     const settings = loadSettings(flags.settings, entrySchema);
     if (settings.err) throw new FailureError(settings.val);
-    await untilStopped(await startEntry(settings.val));
+    await runUntilStopped(await startEntry(settings.val));
   }
 }
--- a/src/command/explain.ts
+++ b/src/command/explain.ts
@@ -2,13 +2,13 @@
 import { explainModel, type Explanation } from '../shell/entries/index.js';
 import { OperatorCommand } from './operator/operatorcommand.js';
 
-/** `tarragonstile explain MODEL`: why a model is where it is. */
+/** `tarragonstile explain MODEL`: explains the placement of a model. */
 export default class ExplainCommand extends OperatorCommand {
   static override description =
-    'Tells where a model is, why, and what the planner expects; asks the entries given.';
+    'Prints where a model is loaded, why, and the forecast of the planner, as seen by the given entries.';
 
   static override args = {
-    model: Args.string({ required: true, description: 'model, as callers name it' }),
+    model: Args.string({ required: true, description: 'model name, as used by callers' }),
   };
 
   async run(): Promise<unknown> {
@@ -21,30 +21,37 @@
         continue;
       }
       if (answer.explanations.length === 0) this.log(`entry ${answer.url}: no such model`);
-      for (const explanation of answer.explanations) this.tell(explanation);
+      for (const explanation of answer.explanations) this.printExplanation(explanation);
     }
     return { model: args.model, entries: answers };
   }
 
-  private tell({ hostId, service, model, residents, planner, movePenalty }: Explanation): void {
+  private printExplanation({
+    hostId,
+    service,
+    model,
+    residents,
+    planner,
+    movePenalty,
+  }: Explanation): void {
     this.log(`entry ${hostId}: ${model} of ${service}, move penalty ${movePenalty}`);
-    if (residents.length === 0) this.log('  in no memory: the next request asks for a load');
+    if (residents.length === 0) this.log('  not loaded: the next request triggers a load');
     for (const { upstream, availabilityZone, phase, adapters, member } of residents) {
       const extra = adapters.length > 0 ? `, adapters ${adapters.join(' ')}` : '';
       this.log(`  ${upstream} (${availabilityZone}, ${member}): ${phase}${extra}`);
     }
     if (!planner) {
-      this.log('  planned by another entry, or by nobody');
+      this.log('  this entry is not its planner');
       return;
     }
     const { epoch, forecastPerSecond, serviceTimeMs, places, unplaced } = planner;
     const rate = `${forecastPerSecond.toFixed(2)} requests/s of ${Math.round(serviceTimeMs)} ms`;
-    this.log(`  planned here under epoch ${epoch} for ${rate}`);
+    this.log(`  planned by this entry in epoch ${epoch} for ${rate}`);
     for (const { upstream, reason, gain, cost } of places) {
-      const worth =
+      const value =
         reason === 'demand' ? `: gains ${gain.toFixed(1)}, costs ${cost.toFixed(1)}` : '';
-      this.log(`  wanted at ${upstream}: ${reason}${worth}`);
+      this.log(`  wanted at ${upstream}: ${reason}${value}`);
     }
-    if (unplaced) this.log('  fits nowhere at present');
+    if (unplaced) this.log('  no upstream has enough memory for it now');
   }
 }
--- a/src/command/get.ts
+++ b/src/command/get.ts
@@ -4,10 +4,10 @@
 import { OperatorCommand } from './operator/operatorcommand.js';
 import { regionFlag } from './operator/regionflag.js';
 
-/** `tarragonstile get`: what is in force. */
+/** `tarragonstile get`: prints the document in force. */
 export default class GetCommand extends OperatorCommand {
   static override description =
-    'Prints the document in force, or without a service all services and their revisions.';
+    'Prints the document in force; without a service, lists all services and their revisions.';
 
   static override args = { service: Args.string({ description: 'the service' }) };
 
@@ -18,7 +18,7 @@
     const store = this.storeFrom(flags);
     if (!args.service) return this.listServices(store, flags.region);
     const service = args.service as ServiceId;
-    const { region, revision, stored } = await this.mustHold(store, service, flags.region);
+    const { region, revision, stored } = await this.requireService(store, service, flags.region);
     const changeId = stored.audit.at(-1)?.changeId ?? '';
     this.logToStderr(`${service} (${region}) is at revision ${revision}, change ${changeId}`);
     this.log(stored.document.trimEnd());
--- a/src/command/operator/askentry.ts
+++ b/src/command/operator/callentry.ts
@@ -3,8 +3,8 @@
 
 const TIMEOUT_MS = 2000;
 
-/** Asks an entry as another entry would. Throws a typed failure without an answer. */
-export async function askEntry(peer: string, path: string, body: object): Promise<unknown> {
+/** Calls an entry on its address for other entries. Throws a typed failure if it does not answer with status 200. */
+export async function callEntry(peer: string, path: string, body: object): Promise<unknown> {
   const channel = new Channel(peer, {
     clock: systemClock,
     connectTimeoutMs: TIMEOUT_MS,
--- a/src/command/operator/changecommand.ts
+++ b/src/command/operator/changecommand.ts
@@ -26,7 +26,7 @@
 
 const CHANGE_ID_LENGTH = 12;
 
-/** Ids without characters that a shell or a flag parser would take for something else. */
+/** Uses only characters that are not special to a shell or a flag parser. */
 const newChangeId = customAlphabet('0123456789abcdefghijklmnopqrstuvwxyz', CHANGE_ID_LENGTH);
 
 /** Flags of a command that changes a document, as parsed. */
@@ -42,13 +42,13 @@
   readonly 'wait-ms': number;
 }
 
-/** What a changing command tells. */
-interface Told extends Accepted {
+/** Result of a command that changes a document. */
+interface ChangeResult extends Accepted {
   readonly service: ServiceId;
   readonly region: string;
-  /** Processes that have the change in force, if it was waited for. */
+  /** Processes that have the change in force; only with `--wait`. */
   readonly inForce?: readonly string[];
-  /** Upstreams of the document whose sidecars no entry knows of. */
+  /** Upstreams of the document whose sidecars no entry knows; only with `--wait`. */
   readonly unheard?: readonly string[];
 }
 
@@ -61,13 +61,13 @@
   return `${process}${where}: ${detail ?? `at revision ${revision}`}`;
 }
 
-/** What `apply` and `rollback` share. */
+/** Base class of `apply` and `rollback`. */
 export abstract class ChangeCommand extends OperatorCommand {
   protected async change(
     flags: ChangeFlags,
     { service, region }: Pick<Change, 'service' | 'region'>,
     source: Change['source'],
-  ): Promise<Told> {
+  ): Promise<ChangeResult> {
     const settings = this.settingsFrom(flags);
     if (flags.wait && settings.entries.length === 0) {
       this.error('--wait needs entries: give --entry or a settings file', { exit: 2 });
@@ -95,31 +95,31 @@
         for (const entry of entries) log.info('audit entry leaves the store', { service, entry });
       },
     });
-    if (outcome.err) return this.refused(store, change, outcome.val);
+    if (outcome.err) return this.failChange(store, change, outcome.val);
     const { revision, changeId } = outcome.val;
     this.log(`${service} is accepted at revision ${revision}, change ${changeId}`);
     if (!flags.wait) return { service, region, ...outcome.val };
-    return this.waited(store, settings.entries, flags['wait-ms'], {
+    return this.waitUntilInForce(store, settings.entries, flags['wait-ms'], {
       service,
       region,
       ...outcome.val,
     });
   }
 
-  /** Owner of the service's documents in other regions. */
+  /** Returns the owner of the service's documents in other regions. */
   private async ownerElsewhere(
     store: KeyValueStore,
     service: ServiceId,
     region: string,
   ): Promise<string | undefined> {
-    const others = await this.holders(store, service);
+    const others = await this.findInAllRegions(store, service);
     const other = others.find((held) => held.region !== region);
     const document = other ? readDocument(other.stored.document) : undefined;
     return document?.ok ? document.val.owner : undefined;
   }
 
-  /** Ends a change that was not accepted; one that would have moved its document says so. */
-  private async refused(
+  /** Fails the command for a rejected change; says so if the change would have moved the document to another region. */
+  private async failChange(
     store: KeyValueStore,
     { service, region }: Change,
     failure: AcceptanceFailure,
@@ -127,25 +127,25 @@
     if (failure.type !== 'revision-conflict' || failure.currentRevision > 0) {
       return this.stop(failure);
     }
-    const others = await this.holders(store, service);
+    const others = await this.findInAllRegions(store, service);
     const other = others.find((held) => held.region !== region);
     if (!other) return this.stop(failure);
     return this.stop(rejections.regionChanged({ service, region: other.region }, region));
   }
 
-  /** Waits for an accepted change; whatever fails here, the change stays accepted. */
-  private async waited(
+  /** Waits until an accepted change is in force. A failure here does not undo the change. */
+  private async waitUntilInForce(
     store: KeyValueStore,
     entries: readonly string[],
     waitMs: Ms,
-    accepted: Told,
-  ): Promise<Told> {
+    accepted: ChangeResult,
+  ): Promise<ChangeResult> {
     const { service, revision } = accepted;
     const document = await this.documentOf(store, accepted);
     const awaited = { service, region: document.region, revision };
     const places = await awaitInForce(entries, awaited, waitMs, systemClock);
     if (places.length === 0) {
-      return this.notEverywhere(accepted, `none of the entries given is of ${document.region}`);
+      return this.failNotInForce(accepted, `none of the entries given is of ${document.region}`);
     }
     const inForce = places.filter((place) => place.inForce).map(({ process }) => process);
     const unheard = upstreamsOf(document).filter(
@@ -155,23 +155,23 @@
     if (inForce.length < places.length) {
       const behind = places.filter((place) => !place.inForce).map(placeText);
       const known = `in force at ${inForce.join(', ') || 'none'}`;
-      return this.notEverywhere(accepted, `${known}; not known to be at ${behind.join('; ')}`);
+      return this.failNotInForce(accepted, `${known}; not known to be at ${behind.join('; ')}`);
     }
     this.log(`in force at ${inForce.join(', ')}`);
     return { ...accepted, inForce, unheard };
   }
 
-  private async documentOf(store: KeyValueStore, accepted: Told): Promise<ServiceDocument> {
+  private async documentOf(store: KeyValueStore, accepted: ChangeResult): Promise<ServiceDocument> {
     const got = await store.get(serviceKey.of(accepted));
-    if (got.err) return this.notEverywhere(accepted, got.val.detail);
+    if (got.err) return this.failNotInForce(accepted, got.val.detail);
     const stored = decodeStored(got.val?.value ?? '');
-    if (stored.err) return this.notEverywhere(accepted, stored.val.detail);
+    if (stored.err) return this.failNotInForce(accepted, stored.val.detail);
     const document = readDocument(stored.val.document);
-    if (document.err) return this.notEverywhere(accepted, document.val.detail);
+    if (document.err) return this.failNotInForce(accepted, document.val.detail);
     return document.val;
   }
 
-  private notEverywhere({ service, revision, changeId }: Told, why: string): never {
+  private failNotInForce({ service, revision, changeId }: ChangeResult, why: string): never {
     const detail = `${service} is accepted at revision ${revision} (change ${changeId}); ${why}`;
     return this.stop({ type: 'not-in-force-everywhere', detail });
   }
--- a/src/command/operator/changeflags.ts
+++ b/src/command/operator/changeflags.ts
@@ -2,16 +2,16 @@
 
 const WAIT_MS = 30_000;
 
-/** Flags of the commands that change a document. */
+/** Flags of commands that change a document. */
 export const changeFlags = {
   expect: Flags.integer({
     required: true,
     min: 0,
-    description: 'revision that you have seen; 0 for a new service',
+    description: 'revision that the change is based on; 0 for a new service',
   }),
   cause: Flags.string({ default: '', description: 'why, for the audit trail' }),
-  team: Flags.string({ env: 'TARRAGONSTILE_TEAM', description: 'team that you act for' }),
-  'change-id': Flags.string({ description: 'id of a change that is given again' }),
+  team: Flags.string({ env: 'TARRAGONSTILE_TEAM', description: 'team on whose behalf you act' }),
+  'change-id': Flags.string({ description: 'id of the change, to repeat an earlier call' }),
   wait: Flags.boolean({ description: 'wait until the change is in force everywhere' }),
   'wait-ms': Flags.integer({ default: WAIT_MS, min: 0, description: 'longest wait, in ms' }),
 };
--- a/src/command/operator/checkfile.ts
+++ b/src/command/operator/checkfile.ts
@@ -7,17 +7,17 @@
 } from '../../core/document/index.js';
 import { readFile } from './readfile.js';
 
-/** A document's text and what it says. */
-interface Checked {
+/** Text of a document and its parsed form. */
+interface CheckedFile {
   readonly text: string;
   readonly document: ServiceDocument;
 }
 
-/** Reads a document's file and checks it. */
+/** Reads and checks a document file. */
 export function checkFile(
   file: string,
   context: Omit<CheckContext, 'file'>,
-): Result<Checked, Failure> {
+): Result<CheckedFile, Failure> {
   const text = readFile(file);
   if (text.err) return text;
   const checked = checkDocument(text.val, { ...context, file });
--- a/src/command/operator/describefailure.ts
+++ b/src/command/operator/describefailure.ts
@@ -1,6 +1,6 @@
 import type { Failure } from '../../base/index.js';
 
-/** What some failures carry besides their sentence. */
+/** Additional fields of some failures. */
 interface Details {
   readonly failures?: readonly Failure[];
   readonly diff?: string;
@@ -11,7 +11,7 @@
   }[];
 }
 
-/** A failure as lines for a person: no stack, and everything that helps to mend it. */
+/** Formats a failure for the operator: without a stack, with all details that help to fix it. */
 export function describeFailure(failure: Failure & Details): string {
   if (failure.failures) {
     return failure.failures.map(({ type, detail }) => `${detail} [${type}]`).join('\n');
@@ -20,6 +20,6 @@
   for (const { changeId, who, cause } of failure.since ?? []) {
     lines.push(`since then: change ${changeId} by ${who}: ${cause || 'no cause given'}`);
   }
-  if (failure.diff) lines.push('From what is in force to your text:', failure.diff);
+  if (failure.diff) lines.push('Difference from the document in force to your file:', failure.diff);
   return lines.join('\n');
 }
--- a/src/command/operator/exitcodes.ts
+++ b/src/command/operator/exitcodes.ts
@@ -1,4 +1,4 @@
-/** Exit code of a command for each type of failure; see docs/operators/commands.md. */
+/** Exit code for each type of failure; see docs/operators/commands.md. */
 const EXIT_CODES: Readonly<Record<string, number>> = {
   'settings-unreadable': 3,
   'settings-syntax': 3,
@@ -25,7 +25,7 @@
 
 const OTHER = 1;
 
-/** The exit code that stands for a failure. */
+/** Returns the exit code for a type of failure; 1 if it has none of its own. */
 export function exitCodeOf(type: string): number {
   return EXIT_CODES[type] ?? OTHER;
 }
--- a/src/command/operator/operatorcommand.ts
+++ b/src/command/operator/operatorcommand.ts
@@ -18,21 +18,21 @@
 
 const STORE_DEFAULTS = { readsPerSecond: 20, writesPerSecond: 10, timeoutMs: 2000 };
 
-/** A service as the store holds it. */
-interface Held {
+/** A service as stored for one region. */
+interface HeldService {
   readonly region: string;
   readonly revision: Revision;
   readonly stored: StoredService;
 }
 
-/** Flags of every operators' command, as parsed. */
+/** Flags common to all operator commands, as parsed. */
 interface OperatorFlags {
   readonly store?: string[];
   readonly entry?: string[];
   readonly settings?: string;
 }
 
-/** What the operators' commands share: where store and entries are, and how failures are told. */
+/** Base class of operator commands: locates the store and the entries, and reports failures. */
 export abstract class OperatorCommand extends Command {
   static override enableJsonFlag = true;
 
@@ -53,7 +53,7 @@
     }),
   };
 
-  /** Ends the command with a typed failure. */
+  /** Throws a typed failure, which ends the command. */
   protected stop(failure: Failure): never {
     throw new FailureError(failure);
   }
@@ -73,35 +73,38 @@
     return createStore(this.settingsFrom(flags).store, systemClock);
   }
 
-  /** The service's value in the store for a region, or undefined if there is none. */
+  /** Returns the stored service of a region, or undefined. */
   protected async held(
     store: KeyValueStore,
     service: ServiceId,
     region: string,
-  ): Promise<Held | undefined> {
+  ): Promise<HeldService | undefined> {
     const got = await store.get(serviceKey.of({ region, service }));
     if (got.err) return this.stop(got.val);
-    return got.val ? this.heldIn(region, got.val) : undefined;
+    return got.val ? this.decodeItem(region, got.val) : undefined;
   }
 
-  /** The service's values in all regions; reads all documents of the store. */
-  protected async holders(store: KeyValueStore, service: ServiceId): Promise<readonly Held[]> {
+  /** Returns the stored service of each region; reads all documents in the store. */
+  protected async findInAllRegions(
+    store: KeyValueStore,
+    service: ServiceId,
+  ): Promise<readonly HeldService[]> {
     const listed = await store.list(serviceKey.all);
     if (listed.err) return this.stop(listed.val);
     return listed.val.items.flatMap((item) => {
       const place = serviceKey.read(item.key);
-      return place?.service === service ? [this.heldIn(place.region, item)] : [];
+      return place?.service === service ? [this.decodeItem(place.region, item)] : [];
     });
   }
 
-  /** The service's value in the region that is given, or else in the only one that has it. */
-  protected async mustHold(
+  /** Returns the stored service of the given region, or of the only region that has it. Fails if there is none. */
+  protected async requireService(
     store: KeyValueStore,
     service: ServiceId,
     region: string | undefined,
-  ): Promise<Held> {
+  ): Promise<HeldService> {
     const given = region === undefined ? undefined : await this.held(store, service, region);
-    const found = given ? [given] : await this.holders(store, service);
+    const found = given ? [given] : await this.findInAllRegions(store, service);
     const regions = found.map((held) => held.region).join(', ');
     const [only] = found;
     if (!only) {
@@ -117,7 +120,7 @@
     return this.stop({ type: 'region-ambiguous', detail });
   }
 
-  private heldIn(region: string, { value, revision }: KeyValue): Held {
+  private decodeItem(region: string, { value, revision }: KeyValue): HeldService {
     const stored = decodeStored(value);
     if (stored.err) return this.stop(stored.val);
     return { region, revision, stored: stored.val };
--- a/src/command/operator/operatorschema.ts
+++ b/src/command/operator/operatorschema.ts
@@ -2,7 +2,7 @@
 import { storeSchema } from '../../shell/store/index.js';
 import type { OperatorSettings } from './operatorsettings.js';
 
-/** Schema of the operators' settings file. */
+/** Schema of the settings file for operator commands. */
 export const operatorSchema: JSONSchemaType<OperatorSettings> = {
   type: 'object',
   additionalProperties: false,
--- a/src/command/operator/operatorsettings.ts
+++ b/src/command/operator/operatorsettings.ts
@@ -1,10 +1,10 @@
 import type { StoreSettings } from '../../shell/store/index.js';
 
-/** Settings of the operators' commands. */
+/** Settings of operator commands. */
 export interface OperatorSettings {
   readonly store?: StoreSettings | null;
   /** Base URLs of entries, for `status` and `apply --wait`. */
   readonly entries: string[];
-  /** Team that the operator acts for. */
+  /** Team on whose behalf the operator acts. */
   readonly team?: string | null;
 }
--- a/src/command/operator/place.ts
+++ b/src/command/operator/place.ts
@@ -1,10 +1,10 @@
-/** One process, and whether a revision is in force there. */
+/** Whether a revision is in force at one process. */
 export interface Place {
   readonly process: string;
   readonly region: string;
-  /** Revision of the service there; 0 if it has none, or did not answer. */
+  /** Revision of the service at the process; 0 if it has none or did not answer. */
   readonly revision: number;
   readonly inForce: boolean;
-  /** Why nothing is known, if so. */
+  /** Why the process did not answer. */
   readonly detail?: string;
 }
--- a/src/command/operator/regionflag.ts
+++ b/src/command/operator/regionflag.ts
@@ -1,6 +1,6 @@
 import { Flags } from '@oclif/core';
 
-/** Flag of the commands that name a service: the region whose document is meant. */
+/** Flag of commands that take a service: region of the document. */
 export const regionFlag = {
-  region: Flags.string({ description: 'region of the document, if several have the service' }),
+  region: Flags.string({ description: 'region of the document, if the service is in several' }),
 };
--- a/src/command/operator/reporterror.ts
+++ b/src/command/operator/reporterror.ts
@@ -5,7 +5,7 @@
 
 const SYSTEM_ERROR_CODE = 1;
 
-/** Prints what ended a command, and ends the process with its exit code. */
+/** Prints the error of a command and exits with its exit code. */
 export async function reportError(error: unknown): Promise<void> {
   if (error instanceof FailureError) {
     process.stderr.write(`${describeFailure(error.failure)}\n`);
--- a/src/command/operator/progress.ts
+++ b/src/command/operator/rolloutprogress.ts
@@ -2,10 +2,10 @@
 import type { EntryReport } from '../../shell/entries/index.js';
 import type { Place } from './place.js';
 
-/** A change that is waited for. */
+/** A change to wait for. */
 interface Awaited {
   readonly service: string;
-  /** Region of the document; entries of others do not hear of it. */
+  /** Region of the document; entries of other regions do not receive it. */
   readonly region: string;
   readonly revision: Revision;
 }
@@ -36,10 +36,13 @@
 }
 
 /**
- * Where a revision is in force: at each entry of the document's region, or of none that is known, and at
- * each sidecar that these know of.
+ * Returns whether a revision is in force at each entry of the document's region, at each unreachable entry (its region
+ * is unknown), and at each sidecar that these entries know.
  */
-export function progress(reports: readonly EntryReport[], awaited: Awaited): readonly Place[] {
+export function rolloutProgress(
+  reports: readonly EntryReport[],
+  awaited: Awaited,
+): readonly Place[] {
   const concerned = reports.filter(
     (report) => report.type === 'unreachable' || report.status.region === awaited.region,
   );
--- a/src/command/poison.ts
+++ b/src/command/poison.ts
@@ -1,33 +1,33 @@
 import { Command, Flags } from '@oclif/core';
 import { judge, type Suspect } from '../core/poison/index.js';
-import { askEntry } from './operator/askentry.js';
+import { callEntry } from './operator/callentry.js';
 import { exitCodeOf } from './operator/exitcodes.js';
 
-/** Tells which requests end their upstreams as an entry knows them, and lets one run again. */
+/** `tarragonstile poison`: lists requests suspected of crashing their upstreams, and clears one of suspicion. */
 export default class PoisonCommand extends Command {
-  static override summary = 'Lists requests under which upstreams ended; lifts a verdict.';
+  static override summary = 'Lists requests suspected of crashing upstreams; lifts a verdict.';
 
   static override enableJsonFlag = true;
 
   static override flags = {
     peer: Flags.string({
       required: true,
-      description: 'address of any entry for calls between entries: HOST:PORT',
+      description: 'address of any entry for calls from other entries: HOST:PORT',
     }),
-    lift: Flags.string({ description: 'content of the request that may run again' }),
+    lift: Flags.string({ description: 'content id of the request to clear of suspicion' }),
   };
 
   async run(): Promise<unknown> {
     const { flags } = await this.parse(PoisonCommand);
     if (flags.lift !== undefined) return this.lift(flags.peer, flags.lift);
-    const { suspects } = (await askEntry(flags.peer, '/poison/list', {})) as {
+    const { suspects } = (await callEntry(flags.peer, '/poison/list', {})) as {
       suspects: readonly Suspect[];
     };
-    for (const suspect of suspects) this.tell(suspect);
+    for (const suspect of suspects) this.printSuspect(suspect);
     return { suspects };
   }
 
-  private tell(suspect: Suspect): void {
+  private printSuspect(suspect: Suspect): void {
     const { content, service, model, path, crashes } = suspect;
     this.log(`${judge(suspect)} ${content} ${service} ${model ?? '-'} ${path}`);
     for (const { upstream, runMs, chance, state } of crashes) {
@@ -36,7 +36,7 @@
   }
 
   private async lift(peer: string, content: string): Promise<unknown> {
-    const { isLifted } = (await askEntry(peer, '/poison/lift', { content })) as {
+    const { isLifted } = (await callEntry(peer, '/poison/lift', { content })) as {
       isLifted: boolean;
     };
     this.log(isLifted ? `${content} may run again.` : `${content} was not suspected.`);
--- a/src/command/untilstopped.ts
+++ b/src/command/rununtilstopped.ts
@@ -1,9 +1,9 @@
-/** A daemon that runs in this process. */
-interface Running {
+/** A daemon running in this process. */
+interface Daemon {
   readonly port: number;
-  /** Finishes what is in flight, within the bound of its settings, and closes. */
+  /** Finishes requests in flight, within the drain timeout of the settings, and closes. */
   stop(): Promise<void>;
-  /** Ends at once what a stop still waits for. */
+  /** Ends a pending `stop` without waiting for requests in flight. */
   expire(): void;
 }
 
@@ -13,8 +13,8 @@
   for (const signal of SIGNALS) process.on(signal, act);
 }
 
-/** Prints the port, then waits for SIGTERM or SIGINT and stops as planned; a second one hurries it. */
-export async function untilStopped(daemon: Running): Promise<void> {
+/** Prints the port, waits for SIGTERM or SIGINT and drains the daemon. A second signal skips the rest of the drain. */
+export async function runUntilStopped(daemon: Daemon): Promise<void> {
   process.stdout.write(`${JSON.stringify({ port: daemon.port, pid: process.pid })}\n`);
   await new Promise<void>((resolve) => {
     onSignal(resolve);
--- a/src/command/sidecar.ts
+++ b/src/command/sidecar.ts
@@ -2,9 +2,9 @@
 import { FailureError } from '../base/index.js';
 import { sidecarSchema, startSidecar } from '../sidecar/index.js';
 import { loadSettings } from '../shell/settings/index.js';
-import { untilStopped } from './untilstopped.js';
+import { runUntilStopped } from './rununtilstopped.js';
 
-/** `tarragonstile sidecar`: runs a sidecar until SIGTERM. */
+/** `tarragonstile sidecar`: runs a sidecar until SIGTERM or SIGINT. */
 export default class SidecarCommand extends Command {
   static override description = 'Runs a sidecar until SIGTERM or SIGINT.';
 
@@ -16,6 +16,6 @@
     const { flags } = await this.parse(SidecarCommand);
     const settings = loadSettings(flags.settings, sidecarSchema);
     if (settings.err) throw new FailureError(settings.val);
-    await untilStopped(await startSidecar(settings.val));
+    await runUntilStopped(await startSidecar(settings.val));
   }
 }
--- a/src/command/status.ts
+++ b/src/command/status.ts
@@ -1,30 +1,30 @@
 import { serviceKey } from '../core/acceptance/index.js';
-import { askEntries, type EntryReport } from '../shell/entries/index.js';
+import { queryEntries, type EntryReport } from '../shell/entries/index.js';
 import { OperatorCommand } from './operator/operatorcommand.js';
 
-/** A service's document in the store. */
-interface Held {
+/** Revision of a service's document in the store. */
+interface StoredDocument {
   readonly service: string;
   readonly region: string;
   readonly revision: number;
 }
 
-/** A service's revision in the store, or why it is not known. */
+/** Documents in the store, or why they could not be read. */
 type StoreView =
-  | { readonly type: 'read'; readonly services: readonly Held[] }
+  | { readonly type: 'read'; readonly services: readonly StoredDocument[] }
   | { readonly type: 'unread'; readonly detail: string };
 
-/** `tarragonstile status`: which process is at which revision. */
+/** `tarragonstile status`: prints the revision in force at each process. */
 export default class StatusCommand extends OperatorCommand {
   static override description =
-    'Prints which process has which revision in force; works while the store is down.';
+    'Prints the revision in force at each process; works while the store is down.';
 
   async run(): Promise<unknown> {
     const { flags } = await this.parse(StatusCommand);
     const { entries } = this.settingsFrom(flags);
-    const [store, reports] = await Promise.all([this.readStore(flags), askEntries(entries)]);
-    this.tellStore(store);
-    for (const report of reports) this.tellEntry(report);
+    const [store, reports] = await Promise.all([this.readStore(flags), queryEntries(entries)]);
+    this.printStore(store);
+    for (const report of reports) this.printEntry(report);
     return { store, entries: reports };
   }
 
@@ -38,7 +38,7 @@
     return { type: 'read', services };
   }
 
-  private tellStore(store: StoreView): void {
+  private printStore(store: StoreView): void {
     if (store.type === 'unread') {
       this.log(`store: ${store.detail}`);
       return;
@@ -48,7 +48,7 @@
     }
   }
 
-  private tellEntry(report: EntryReport): void {
+  private printEntry(report: EntryReport): void {
     if (report.type === 'unreachable') {
       this.log(`entry ${report.url}: unreachable: ${report.detail}`);
       return;
@@ -57,10 +57,10 @@
     const held = documents.map(({ service, revision }) => `${service} ${revision}`).join(', ');
     const role = relay ? `, relay (store: ${report.status.store})` : '';
     this.log(`entry ${hostId} (${region}): ${phase}${role}: ${held || 'no document'}`);
-    if (suspects.length > 0) this.log(`  does not reach ${suspects.join(', ')}`);
+    if (suspects.length > 0) this.log(`  cannot reach ${suspects.join(', ')}`);
     for (const { service, upstream, incarnation, phase: state, revision } of upstreams) {
-      const life = `incarnation ${incarnation}`;
-      this.log(`  sidecar ${upstream} (${service}): ${state}, ${life}, revision ${revision}`);
+      const identity = `incarnation ${incarnation}`;
+      this.log(`  sidecar ${upstream} (${service}): ${state}, ${identity}, revision ${revision}`);
     }
   }
 }
--- a/src/command/table.ts
+++ b/src/command/table.ts
@@ -12,7 +12,7 @@
 import StatusCommand from './status.js';
 import TraceCommand from './trace.js';
 
-/** Every command, by name. */
+/** All commands by name. */
 const COMMANDS = {
   apply: ApplyCommand,
   audit: AuditCommand,
--- a/src/command/trace.ts
+++ b/src/command/trace.ts
@@ -4,17 +4,17 @@
 import { exitCodeOf } from './operator/exitcodes.js';
 import type { LogLine } from './trace/logline.js';
 import { parseLine } from './trace/parseline.js';
-import { tellRequest } from './trace/tellrequest.js';
+import { describeRequest } from './trace/describerequest.js';
 
-/** Tells a request's story from the entries' logs. */
+/** `tarragonstile trace REQUEST`: explains the outcome of a request from the entries' logs. */
 export default class TraceCommand extends Command {
-  static override summary = 'Tells what became of a request, from log files or standard input.';
+  static override summary = 'Explains the outcome of a request from log files or standard input.';
 
   static override strict = false;
 
   static override args = {
     request: Args.string({ required: true, description: "the request's id" }),
-    files: Args.string({ description: 'log files; standard input without any' }),
+    files: Args.string({ description: 'log files; standard input if none are given' }),
   };
 
   async run(): Promise<void> {
@@ -29,9 +29,9 @@
         if (line) lines.push(line);
       }
     }
-    const told = tellRequest(lines, requestId);
-    for (const text of told) this.log(text);
-    if (told.length > 0) return;
+    const output = describeRequest(lines, requestId);
+    for (const text of output) this.log(text);
+    if (output.length > 0) return;
     this.logToStderr(`No line of ${lines.length} names the request ${requestId}.`);
     this.exit(exitCodeOf('request-unknown'));
   }
--- a/src/command/trace/logline.ts
+++ b/src/command/trace/logline.ts
@@ -1,9 +1,9 @@
-/** One structured line of a log, as far as it can be read. */
+/** One structured log line. */
 export interface LogLine {
   readonly message: string;
-  /** Time of day in ms. */
+  /** Unix time in ms; 0 if the line has no timestamp. */
   readonly atMs: number;
-  /** What stood before the JSON object, such as the host's name. */
+  /** Text before the JSON object, such as the host name. */
   readonly from: string;
   readonly fields: Readonly<Record<string, unknown>>;
 }
--- a/src/command/trace/parseline.ts
+++ b/src/command/trace/parseline.ts
@@ -1,6 +1,6 @@
 import type { LogLine } from './logline.js';
 
-/** Undefined for a line that is not structured; what log collectors put before the object is kept. */
+/** Parses a log line. Keeps the prefix that a log collector put before the JSON object. Undefined if there is none. */
 export function parseLine(text: string): LogLine | undefined {
   const at = text.indexOf('{');
   if (at < 0) return undefined;
--- a/src/entry/createentrycontext.ts
+++ b/src/entry/createentrycontext.ts
@@ -28,8 +28,8 @@
   const link = new SharedLink({
     clock,
     credentials: credentials.channel,
-    revision: (sidecarAddress) => board.revisionAt(sidecarAddress),
-    sawRevision: (revision, from) => board.sawRevision(revision as Revision, from),
+    revision: (sidecarAddress) => board.revisionForSidecar(sidecarAddress),
+    sawRevision: (revision, from) => board.observeRevision(revision as Revision, from),
   });
   return { ...drivers, link, board, audit: createAudit(log) };
 }
--- a/src/entry/tickets/ticketservice.ts
+++ b/src/entry/tickets/ticketservice.ts
@@ -3,7 +3,7 @@
 import { finalRefusal, routeTicket } from '../../core/idempotency/index.js';
 import { refuse } from '../../core/refusal/index.js';
 import { keyHash, requestHash } from '../../shell/hash/index.js';
-import { Budget } from '../../shell/store/index.js';
+import { TokenBucket } from '../../shell/store/index.js';
 import { Executed, type Refusal, type TicketReply, type TicketRequest } from '../../wire/index.js';
 import type {
   BindRequest,
@@ -40,7 +40,7 @@
 
 /** Issues and locates tickets, and maps idempotency keys to them. The entry stores neither: tickets name their sidecar. */
 export class TicketService implements Tickets {
-  private readonly budget: Budget;
+  private readonly budget: TokenBucket;
 
   private readonly leases: SharedLeases;
 
@@ -49,7 +49,7 @@
     private readonly directory: Directory,
     private readonly options: TicketServiceOptions,
   ) {
-    this.budget = new Budget(options.writesPerSecond);
+    this.budget = new TokenBucket(options.writesPerSecond);
     this.leases = new SharedLeases(context);
   }
 
--- a/src/shell/acceptance/acceptancetools.ts
+++ b/src/shell/acceptance/acceptancecontext.ts
@@ -9,12 +9,12 @@
 
 type AcceptanceStep = Step<AcceptanceState, AcceptanceEvent, AcceptanceEffect>;
 
-/** What a change is carried out with. */
-export interface AcceptanceTools {
+/** Dependencies for executing a change. */
+export interface AcceptanceContext {
   readonly store: KeyValueStore;
   readonly clock: Clock;
-  /** Told of the audit entries that the stored value stops keeping. */
+  /** Receives the audit entries that are dropped from the stored value. */
   readonly log: (entries: readonly AuditEntry[]) => void;
-  /** Another core, for checkers that turn a guard off. */
+  /** Replacement for the core, for checkers that disable one of its guards. */
   readonly step?: AcceptanceStep;
 }
--- a/src/shell/acceptance/acceptchange.ts
+++ b/src/shell/acceptance/acceptchange.ts
@@ -8,36 +8,38 @@
   type AcceptanceState,
   type Accepted,
 } from '../../core/acceptance/index.js';
-import type { AcceptanceTools } from './acceptancetools.js';
+import type { AcceptanceContext } from './acceptancecontext.js';
 
-type Act<Type extends AcceptanceEffect['type']> = (
+type EffectHandler<Type extends AcceptanceEffect['type']> = (
   effect: Extract<AcceptanceEffect, { type: Type }>,
-  tools: AcceptanceTools,
+  context: AcceptanceContext,
 ) => Promise<AcceptanceEvent | undefined>;
 
-const read: Act<'read'> = async ({ key }, { store }) => {
+const read: EffectHandler<'read'> = async ({ key }, { store }) => {
   const got = await store.get(key);
   if (got.err) return { type: 'failed', failure: got.val };
   return { type: 'read', item: got.val };
 };
 
-const swap: Act<'swap'> = async (effect, { store }) => {
+const swap: EffectHandler<'swap'> = async (effect, { store }) => {
   const swapped = await store.swap(effect.swap);
   return swapped.err ? { type: 'failed', failure: swapped.val } : swapped.val;
 };
 
-const wait: Act<'wait'> = ({ delayMs }, { clock }) =>
+const wait: EffectHandler<'wait'> = ({ delayMs }, { clock }) =>
   new Promise((resolve) => {
     clock.after(delayMs, () => resolve({ type: 'waited' }));
   });
 
-const log: Act<'log'> = ({ entries }, tools) => {
-  tools.log(entries);
+const log: EffectHandler<'log'> = ({ entries }, context) => {
+  context.log(entries);
   return Promise.resolve(undefined);
 };
 
-const ACTS: {
-  readonly [Type in Exclude<AcceptanceEffect['type'], 'accepted' | 'rejected'>]: Act<Type>;
+const EFFECT_HANDLERS: {
+  readonly [
+    Type in Exclude<AcceptanceEffect['type'], 'accepted' | 'rejected'>
+  ]: EffectHandler<Type>;
 } = {
   read,
   swap,
@@ -45,12 +47,12 @@
   log,
 };
 
-/** Carries one change through the core and gives its outcome. */
+/** Runs one change through the core, executes its effects and returns the outcome. */
 export async function acceptChange(
   start: AcceptanceState,
-  tools: AcceptanceTools,
+  context: AcceptanceContext,
 ): Promise<Result<Accepted, AcceptanceFailure>> {
-  const { step = stepAcceptance, clock } = tools;
+  const { step = stepAcceptance, clock } = context;
   let state = start;
   let event: AcceptanceEvent = { type: 'start' };
   for (;;) {
@@ -59,8 +61,8 @@
     for (const effect of next.effects) {
       if (effect.type === 'accepted') return result.Ok(effect.accepted);
       if (effect.type === 'rejected') return result.Err(effect.failure);
-      const act = ACTS[effect.type] as Act<AcceptanceEffect['type']>;
-      event = (await act(effect, tools)) ?? event;
+      const act = EFFECT_HANDLERS[effect.type] as EffectHandler<AcceptanceEffect['type']>;
+      event = (await act(effect, context)) ?? event;
     }
   }
 }
--- a/src/shell/acceptance/index.ts
+++ b/src/shell/acceptance/index.ts
@@ -1,4 +1,4 @@
-/** Carries changes of documents into the store. */
+/** Writes changes of documents to the store. */
 export { acceptChange } from './acceptchange.js';
-export type { AcceptanceTools } from './acceptancetools.js';
+export type { AcceptanceContext } from './acceptancecontext.js';
 export { sha256 } from './sha256.js';
--- a/src/shell/board/boardrecord.ts
+++ b/src/shell/board/boardrecord.ts
@@ -1,13 +1,13 @@
-/** One record of the board. A higher (epoch, sequence) replaces a lower one, and never the reverse. */
+/** One record of the board. A record is replaced only by one with a higher (epoch, sequence). */
 export interface BoardRecord {
   /** `document/{service}` or `upstream/{service}/{upstream}`. */
   readonly key: string;
-  /** The sidecar's incarnation for upstreams; 0 for documents. */
+  /** Incarnation of the sidecar for upstream records; 0 for documents. */
   readonly epoch: number;
-  /** The store's revision for documents; a counter for upstreams. */
+  /** Store revision for documents; a counter for upstream records. */
   readonly sequence: number;
-  /** Empty when what the record told of is gone; `get` and `list` do not give such records. */
+  /** Empty for a deletion marker; `get` and `list` leave such records out. */
   readonly value: Buffer;
-  /** Host that published the record; filled in by the board. */
+  /** Host that published the record; set by the board. */
   readonly origin?: string;
 }
--- a/src/shell/board/index.ts
+++ b/src/shell/board/index.ts
@@ -1,4 +1,4 @@
-/** The board: versioned records that all processes of a region share. */
+/** The board: versioned records that are replicated to the processes of a region. */
 export type { Board } from './board.js';
 export type { BoardRecord } from './boardrecord.js';
 export type { BoardStatus } from './boardstatus.js';
--- a/src/shell/board/memoryboard.ts
+++ b/src/shell/board/memoryboard.ts
@@ -10,7 +10,7 @@
   return record.sequence > held.sequence;
 }
 
-/** A board that lives in one process only. */
+/** Board of a single process, without replication. */
 export class MemoryBoard implements Board {
   private readonly records = new Map<string, BoardRecord>();
 
@@ -30,9 +30,9 @@
     for (const listener of this.listeners) listener(record);
   }
 
-  onChange(prefix: string, tell: (record: BoardRecord) => void): () => void {
+  onChange(prefix: string, notify: (record: BoardRecord) => void): () => void {
     const listener = (record: BoardRecord) => {
-      if (record.key.startsWith(prefix)) tell(record);
+      if (record.key.startsWith(prefix)) notify(record);
     };
     this.listeners.add(listener);
     return () => this.listeners.delete(listener);
@@ -46,11 +46,11 @@
     return Math.max(0, ...sequences) as Revision;
   }
 
-  revisionAt(): Revision {
+  revisionForSidecar(): Revision {
     return this.revision();
   }
 
-  sawRevision(): void {}
+  observeRevision(): void {}
 
   caughtUp(): boolean {
     return true;
--- a/src/shell/clock/createhostclock.ts
+++ b/src/shell/clock/createhostclock.ts
@@ -2,7 +2,7 @@
 import { HostClock } from './hostclock.js';
 import { openBoottime } from './openboottime.js';
 
-/** The clock of a daemon; without one that counts suspension it goes by the steady clock, and says so. */
+/** Creates the clock of a daemon. Where no clock counts suspended time, logs an error and uses the steady clock. */
 export function createHostClock(log: Log): HostClock {
   const steadyMs = () => performance.now();
   const boottimeMs = openBoottime(log) ?? steadyMs;
--- a/src/shell/clock/hostclock.ts
+++ b/src/shell/clock/hostclock.ts
@@ -1,47 +1,47 @@
 import type { Clock, Ms } from '../../base/index.js';
 import type { TimeSource } from './timesource.js';
 
-interface Alarm {
+interface PendingTimer {
   readonly atMs: Ms;
   readonly act: () => void;
   timer: NodeJS.Timeout;
 }
 
 /**
- * How often suspension is looked for: the timers that it held up are this late at most once the host is awake
- * again. A look costs 0.14 us (a million of them).
+ * Interval of the check for suspension. After the host resumes, delayed timers are late by at most this. One check
+ * costs 0.14 us.
  */
-const LOOK_MS = 50;
-/** Two clocks that are read one after the other differ by less, also on a host without a free processor. */
-const LEAST_SUSPENSION_MS = 20;
+const CHECK_INTERVAL_MS = 50;
+/** Two clocks read one after the other differ by less than this, even on a host without a free CPU. */
+const MIN_SUSPENSION_MS = 20;
 
 /**
- * The clock of a process on a host that may be suspended. What a right, a deadline or an age is judged by goes on
- * meanwhile, so that a process which wakes sees at once how old everything is. Timers of the operating system stand
- * still with the host: once it is awake they are set anew, by what is left.
+ * Clock of a process on a host that may be suspended. `nowMs` includes suspended time, so leases, deadlines and ages
+ * are correct right after the host resumes. Timers of the operating system do not count suspended time, so pending
+ * timers are then set again with the remaining delay.
  */
 export class HostClock implements Clock {
-  private readonly alarms = new Set<Alarm>();
+  private readonly pending = new Set<PendingTimer>();
 
-  private readonly zeroMs: Ms;
+  private readonly originMs: Ms;
 
-  /** How far the clock that goes on was ahead of the steady one when that was last looked at. */
-  private aheadMs: Ms;
+  /** Difference between boottime and steady clock at the last check. */
+  private lastOffsetMs: Ms;
 
-  private readonly looking: NodeJS.Timeout;
+  private readonly checkTimer: NodeJS.Timeout;
 
   constructor(
     private readonly source: TimeSource,
-    /** Called when the host is awake again. */
-    private readonly woke: (suspendedMs: Ms) => void,
+    /** Called after the host has resumed. */
+    private readonly onResume: (suspendedMs: Ms) => void,
   ) {
-    this.zeroMs = source.boottimeMs() - source.steadyMs();
-    this.aheadMs = this.zeroMs;
-    this.looking = setInterval(() => this.look(), LOOK_MS).unref();
+    this.originMs = source.boottimeMs() - source.steadyMs();
+    this.lastOffsetMs = this.originMs;
+    this.checkTimer = setInterval(() => this.checkSuspension(), CHECK_INTERVAL_MS).unref();
   }
 
   nowMs(): Ms {
-    return this.source.boottimeMs() - this.zeroMs;
+    return this.source.boottimeMs() - this.originMs;
   }
 
   wallMs(): Ms {
@@ -49,40 +49,43 @@
   }
 
   after(delayMs: Ms, act: () => void): () => void {
-    const alarm: Alarm = {
+    const pendingTimer: PendingTimer = {
       atMs: this.nowMs() + delayMs,
       act,
-      timer: setTimeout(() => this.fire(alarm), delayMs),
+      timer: setTimeout(() => this.fire(pendingTimer), delayMs),
     };
-    this.alarms.add(alarm);
-    return () => this.forget(alarm);
+    this.pending.add(pendingTimer);
+    return () => this.cancel(pendingTimer);
   }
 
-  /** Looks for suspension no more; alarms that are set still come. */
+  /** Stops the check for suspension. Pending timers still fire. */
   close(): void {
-    clearInterval(this.looking);
+    clearInterval(this.checkTimer);
   }
 
-  private fire(alarm: Alarm): void {
-    this.alarms.delete(alarm);
-    alarm.act();
+  private fire(pendingTimer: PendingTimer): void {
+    this.pending.delete(pendingTimer);
+    pendingTimer.act();
   }
 
-  private forget(alarm: Alarm): void {
-    this.alarms.delete(alarm);
-    clearTimeout(alarm.timer);
+  private cancel(pendingTimer: PendingTimer): void {
+    this.pending.delete(pendingTimer);
+    clearTimeout(pendingTimer.timer);
   }
 
-  private look(): void {
-    const aheadMs = this.source.boottimeMs() - this.source.steadyMs();
-    const suspendedMs = aheadMs - this.aheadMs;
-    if (suspendedMs < LEAST_SUSPENSION_MS) return;
-    this.aheadMs = aheadMs;
+  private checkSuspension(): void {
+    const offsetMs = this.source.boottimeMs() - this.source.steadyMs();
+    const suspendedMs = offsetMs - this.lastOffsetMs;
+    if (suspendedMs < MIN_SUSPENSION_MS) return;
+    this.lastOffsetMs = offsetMs;
     const nowMs = this.nowMs();
-    for (const alarm of this.alarms) {
-      clearTimeout(alarm.timer);
-      alarm.timer = setTimeout(() => this.fire(alarm), Math.max(0, alarm.atMs - nowMs));
+    for (const pendingTimer of this.pending) {
+      clearTimeout(pendingTimer.timer);
+      pendingTimer.timer = setTimeout(
+        () => this.fire(pendingTimer),
+        Math.max(0, pendingTimer.atMs - nowMs),
+      );
     }
-    this.woke(suspendedMs);
+    this.onResume(suspendedMs);
   }
 }
--- a/src/shell/clock/timesource.ts
+++ b/src/shell/clock/timesource.ts
@@ -1,10 +1,10 @@
 import type { Ms } from '../../base/index.js';
 
-/** The operating system's clocks that a host clock reads. */
+/** Clocks of the operating system that a `HostClock` reads. */
 export interface TimeSource {
-  /** Stands still while the host is suspended; timers go by it. */
+  /** Monotonic time without suspended time; timers go by it. */
   steadyMs(): Ms;
-  /** As `steadyMs`, but goes on while the host is suspended. Its zero is another one. */
+  /** Monotonic time including suspended time; its origin differs from that of `steadyMs`. */
   boottimeMs(): Ms;
   wallMs(): Ms;
 }
--- a/src/shell/engine/continuedbody.ts
+++ b/src/shell/engine/continuedbody.ts
@@ -9,7 +9,9 @@
 
 type Continuation = NonNullable<Generation['continuation']>;
 
-const CONTINUE: Readonly<Record<string, (body: Body, text: string) => object | undefined>> = {
+const CONTINUATION_FIELDS: Readonly<
+  Record<string, (body: Body, text: string) => object | undefined>
+> = {
   '/v1/chat/completions': (body, text) => ({
     messages: [...(body.messages ?? []), { role: 'assistant', content: text }],
     continue_final_message: true,
@@ -19,7 +21,7 @@
     typeof prompt === 'string' ? { prompt: prompt + text } : undefined,
 };
 
-function lessTokens(body: Body, tokenCount: number): object {
+function reducedTokenLimits(body: Body, tokenCount: number): object {
   const names = ['max_tokens', 'max_completion_tokens'] as const;
   const entries = names
     .filter((name) => body[name] !== undefined)
@@ -27,15 +29,15 @@
   return Object.fromEntries(entries) as object;
 }
 
-/** The body that has an engine go on after the text; undefined if the request cannot be continued. */
+/** Returns a body that makes an engine continue after the text; undefined if the request cannot be continued. */
 export function continuedBody(
   path: string,
   body: Buffer,
   { text, tokenCount }: Continuation,
 ): Buffer | undefined {
   const parsed = JSON.parse(body.toString()) as Body;
-  const continued = CONTINUE[path]?.(parsed, text);
+  const continued = CONTINUATION_FIELDS[path]?.(parsed, text);
   if (!continued) return undefined;
-  const whole = { ...parsed, ...continued, ...lessTokens(parsed, tokenCount) };
-  return Buffer.from(JSON.stringify(whole));
+  const continuedRequest = { ...parsed, ...continued, ...reducedTokenLimits(parsed, tokenCount) };
+  return Buffer.from(JSON.stringify(continuedRequest));
 }
--- a/src/shell/engine/discard.ts
+++ b/src/shell/engine/discard.ts
@@ -1,8 +1,8 @@
 import type { Dispatcher } from 'undici';
 
-/** Gives up an answer that is not wanted; its request is aborted. */
+/** Discards an answer and aborts its request. */
 export function discard({ body }: Dispatcher.ResponseData): void {
-  // The body tells of its own destruction as an error, which nobody else listens for.
+  // Destroying the body emits an error event, which would be uncaught without a listener.
   body.on('error', () => {});
   body.destroy();
 }
--- a/src/shell/engine/engineanswer.ts
+++ b/src/shell/engine/engineanswer.ts
@@ -4,7 +4,7 @@
 import type { AnswerStream, EngineFailure, Generation } from '../../port/index.js';
 import { discard } from './discard.js';
 import { httpAnswer } from './httpanswer.js';
-import { ownAnswer } from './ownanswer.js';
+import { belongsToRequest } from './belongstorequest.js';
 import { splitEvents } from './splitevents.js';
 
 const DONE = Buffer.from('data: [DONE]');
@@ -19,11 +19,11 @@
 
 const cutAnswer: EngineFailure = {
   type: 'upstream-cut',
-  detail: 'The stream ended before it was done.',
+  detail: 'The stream ended before its [DONE] event.',
   executed: 'unknown',
 };
 
-/** Answers of an engine that speak of itself rather than of the request, and whether it may have run. */
+/** Statuses that concern the engine rather than the request, and whether the request may have run. */
 const ENGINE_STATUS: Readonly<Record<number, EngineFailure['executed']>> = {
   404: 'no',
   429: 'unknown',
@@ -38,15 +38,15 @@
   executed: EngineFailure['executed'],
 ): Promise<Result<AnswerStream, EngineFailure>> {
   const detail = (await response.body.text()).slice(0, DETAIL_LENGTH);
-  const said = `The engine answered ${response.statusCode}: ${detail}`;
-  return result.Err({ type: 'upstream-refused', detail: said, executed });
+  const description = `The engine answered ${response.statusCode}: ${detail}`;
+  return result.Err({ type: 'upstream-refused', detail: description, executed });
 }
 
-function whole(chunk: Buffer): { payload: Buffer; tokenCount: number }[] {
+function asOnePiece(chunk: Buffer): { payload: Buffer; tokenCount: number }[] {
   return [{ payload: chunk, tokenCount: 0 }];
 }
 
-/** Reads an engine's answer and checks that it is the one to this request, and whole. */
+/** Reads an engine's answer and checks that it belongs to this request and is complete. */
 export async function engineAnswer(
   response: Dispatcher.ResponseData,
   { requestId }: Generation,
@@ -59,23 +59,23 @@
   const executed = ENGINE_STATUS[response.statusCode];
   if (executed) return refused(response, executed);
   if (response.statusCode >= FIRST_ERROR_STATUS) {
-    return result.Ok(httpAnswer(response, { split: whole }));
+    return result.Ok(httpAnswer(response, { split: asOnePiece }));
   }
   const id = Buffer.from(requestId);
   if (String(response.headers['content-type']).startsWith('text/event-stream')) {
     return result.Ok(
       httpAnswer(response, {
         split: splitEvents(),
-        check: ({ payload }) => (ownAnswer(payload, id) ? undefined : wrongAnswer),
+        check: ({ payload }) => (belongsToRequest(payload, id) ? undefined : wrongAnswer),
         missing: (last) => (last?.payload.includes(DONE) ? undefined : cutAnswer),
       }),
     );
   }
-  let first = true;
+  let isFirst = true;
   const check = ({ payload }: { payload: Buffer }) => {
-    const own = !first || ownAnswer(payload, id);
-    first = false;
-    return own ? undefined : wrongAnswer;
+    const isOwn = !isFirst || belongsToRequest(payload, id);
+    isFirst = false;
+    return isOwn ? undefined : wrongAnswer;
   };
-  return result.Ok(httpAnswer(response, { split: whole, check }));
+  return result.Ok(httpAnswer(response, { split: asOnePiece, check }));
 }
--- a/src/shell/engine/httpanswer.ts
+++ b/src/shell/engine/httpanswer.ts
@@ -9,16 +9,16 @@
   readonly resumeToken?: string;
 }
 
-/** How the body of an answer is read. */
-interface Reading {
+/** How the body of an answer is split and checked. */
+interface AnswerFormat {
   readonly split: (chunk: Buffer) => Iterable<Piece>;
-  /** Tells what is wrong with a piece, if anything. */
+  /** Returns a failure if the piece is invalid. */
   readonly check?: (piece: Piece) => EngineFailure | undefined;
-  /** Tells what is missing after the last piece, if anything. */
+  /** Returns a failure if the answer is incomplete after its last piece. */
   readonly missing?: (last: Piece | undefined) => EngineFailure | undefined;
 }
 
-/** Headers that speak of one connection only, or that are set anew. */
+/** Hop-by-hop headers, and headers that are set again for the caller. */
 const HOP_HEADERS = new Set([
   'connection',
   'content-length',
@@ -33,7 +33,7 @@
 
 async function* read(
   body: AsyncIterable<Buffer>,
-  { split, check, missing }: Reading,
+  { split, check, missing }: AnswerFormat,
 ): AsyncIterable<Result<Piece, EngineFailure>> {
   let last: Piece | undefined;
   try {
@@ -60,12 +60,12 @@
 function headersOf(response: Dispatcher.ResponseData): AnswerStream['headers'] {
   return Object.entries(response.headers)
     .filter(([name]) => !HOP_HEADERS.has(name))
-    .flatMap(([name, value = '']) => [value].flat().map((one) => ({ name, value: one })));
+    .flatMap(([name, value = '']) => [value].flat().map((item) => ({ name, value: item })));
 }
 
-/** Reads an HTTP answer piece by piece, as it arrives. */
-export function httpAnswer(response: Dispatcher.ResponseData, reading: Reading): AnswerStream {
-  // Errors reach the reader of the pieces; leaving early raises one that nobody reads.
+/** Converts an HTTP response to a stream of pieces, which are read as they arrive. */
+export function httpAnswer(response: Dispatcher.ResponseData, reading: AnswerFormat): AnswerStream {
+  // The iterator of the pieces reports errors. A reader that stops early causes an error that nobody would handle.
   response.body.on('error', () => {});
   const pieces = read(response.body as AsyncIterable<Buffer>, reading);
   return { status: response.statusCode, headers: headersOf(response), pieces };
--- a/src/shell/engine/httpengine.ts
+++ b/src/shell/engine/httpengine.ts
@@ -17,7 +17,7 @@
 
 const ADMIN_TIMEOUT_MS = 2000;
 
-/** Drives an OpenAI-compatible engine over HTTP. The admin paths are listed in docs/ENGINES.md. */
+/** Driver of an OpenAI-compatible engine over HTTP. docs/ENGINES.md lists the admin paths. */
 export class HttpEngine implements Engine {
   private readonly pool: Pool;
 
@@ -86,7 +86,7 @@
       ? continuedBody(path, generation.body, continuation)
       : generation.body;
     if (!body) {
-      const detail = 'A request of this sort cannot be continued.';
+      const detail = 'Requests of this kind cannot be continued.';
       return result.Err({ type: 'upstream-unsupported', detail, executed: 'no' });
     }
     try {
--- a/src/shell/engine/httpservice.ts
+++ b/src/shell/engine/httpservice.ts
@@ -6,7 +6,7 @@
 import { failureOf } from './failureof.js';
 import { httpAnswer } from './httpanswer.js';
 
-const whole = (chunk: Buffer) => [{ payload: chunk, tokenCount: 0 }];
+const asOnePiece = (chunk: Buffer) => [{ payload: chunk, tokenCount: 0 }];
 
 const wrongAnswer: EngineFailure = {
   type: 'upstream-wrong-answer',
@@ -14,7 +14,7 @@
   executed: 'unknown',
 };
 
-/** Drives a plain HTTP service. */
+/** Driver of a plain HTTP service. */
 export class HttpService implements PlainService {
   private readonly pool: Pool;
 
@@ -40,7 +40,7 @@
         discard(response);
         return result.Err(wrongAnswer);
       }
-      return result.Ok(httpAnswer(response, { split: whole }));
+      return result.Ok(httpAnswer(response, { split: asOnePiece }));
     } catch (thrown) {
       return result.Err(failureOf(thrown, signal));
     }
--- a/src/shell/engine/index.ts
+++ b/src/shell/engine/index.ts
@@ -1,4 +1,4 @@
-/** Drivers of upstreams: engines and plain services, over HTTP. */
+/** HTTP drivers of upstreams: model engines and plain services. */
 export { HttpEngine } from './httpengine.js';
 export { HttpService } from './httpservice.js';
 export { splitEvents } from './splitevents.js';
--- a/src/shell/engine/readwithin.ts
+++ b/src/shell/engine/readwithin.ts
@@ -1,6 +1,6 @@
 import type { Readable } from 'node:stream';
 
-/** The whole of a body, or undefined if it is larger than the limit: the rest is then not read. */
+/** Reads a whole body. Returns undefined, without reading on, if it is larger than the limit. */
 export async function readWithin(body: Readable, limitBytes: number): Promise<Buffer | undefined> {
   const chunks: Buffer[] = [];
   let sizeBytes = 0;
--- a/src/shell/engine/splitevents.ts
+++ b/src/shell/engine/splitevents.ts
@@ -1,4 +1,4 @@
-/** Whole events cut from a stream. */
+/** One or more complete events of a stream. */
 interface Piece {
   readonly payload: Buffer;
   readonly tokenCount: number;
@@ -21,7 +21,7 @@
   return count;
 }
 
-/** The `id` line of the last event; engines write it first. */
+/** Returns the `id` line of the last event; engines write that line first. */
 function lastId(payload: Buffer): string | undefined {
   const at = payload.lastIndexOf(ID);
   const startsLine = at === 0 || payload[at - 1] === NEW_LINE;
@@ -35,8 +35,8 @@
 }
 
 /**
- * Cuts a byte stream after its last whole server-sent event and keeps what is incomplete for the next
- * chunk. Each event counts as one token, but for the closing `[DONE]`.
+ * Returns a function that splits a byte stream at the end of server-sent events. An incomplete event is buffered until
+ * the next chunk. Each event counts as one token, except the closing `[DONE]`.
  */
 export function splitEvents(): (chunk: Buffer) => Piece[] {
   let rest: Buffer = EMPTY;
--- a/src/shell/entries/entryreport.ts
+++ b/src/shell/entries/entryreport.ts
@@ -1,6 +1,6 @@
 import type { EntryStatus } from './entrystatus.js';
 
-/** One entry, asked for its status. */
+/** Result of querying one entry for its status. */
 export type EntryReport =
   | { readonly type: 'answered'; readonly url: string; readonly status: EntryStatus }
   | { readonly type: 'unreachable'; readonly url: string; readonly detail: string };
--- a/src/shell/entries/entrystatus.ts
+++ b/src/shell/entries/entrystatus.ts
@@ -1,17 +1,17 @@
 import type { BoardStatus } from '../board/index.js';
 
-/** What an entry's `GET /statusz` tells. */
+/** Answer of an entry's `GET /statusz`. */
 export interface EntryStatus extends Omit<BoardStatus, 'address'> {
   readonly hostId: string;
   readonly region: string;
   readonly availabilityZone: string;
-  /** What this entry knows of its region's upstreams. */
+  /** This entry's view of the upstreams of its region. */
   readonly upstreams: readonly {
     readonly service: string;
     readonly upstream: string;
     readonly incarnation: number;
     readonly phase: string;
-    /** Configuration revision in force at the sidecar, as it last told. */
+    /** Configuration revision in force at the sidecar, by its last report. */
     readonly revision: number;
   }[];
 }
--- a/src/shell/entries/explainmodel.ts
+++ b/src/shell/entries/explainmodel.ts
@@ -5,12 +5,12 @@
 const TIMEOUT_MS: Ms = 2000;
 const OK = 200;
 
-/** One entry's answer, or why there is none. */
-type Explained =
+/** Result of querying one entry. */
+type EntryExplanation =
   | { readonly type: 'explained'; readonly url: string; readonly explanations: Explanation[] }
   | { readonly type: 'unreachable'; readonly url: string; readonly failure: Failure };
 
-async function ask(url: string, model: string): Promise<Explained> {
+async function ask(url: string, model: string): Promise<EntryExplanation> {
   try {
     const path = `${url}/explainz?model=${encodeURIComponent(model)}`;
     const answer = await request(path, { signal: AbortSignal.timeout(TIMEOUT_MS) });
@@ -25,10 +25,10 @@
   }
 }
 
-/** Asks each entry why a model is where it is. */
+/** Queries each entry for the upstreams that hold a model and the reasons. */
 export function explainModel(
   urls: readonly string[],
   model: string,
-): Promise<readonly Explained[]> {
+): Promise<readonly EntryExplanation[]> {
   return Promise.all(urls.map((url) => ask(url, model)));
 }
--- a/src/shell/entries/explanation.ts
+++ b/src/shell/entries/explanation.ts
@@ -1,32 +1,32 @@
-/** What an entry's `GET /explainz` tells of one model. */
+/** Answer of an entry's `GET /explainz` for one model. */
 export interface Explanation {
   readonly hostId: string;
   readonly service: string;
   readonly model: string;
   readonly movePenalty: number;
-  /** Where the model is, as the sidecars last told. */
+  /** Upstreams that hold the model, by the last reports of their sidecars. */
   readonly residents: readonly {
     readonly upstream: string;
     readonly availabilityZone: string;
     readonly phase: string;
     readonly adapters: readonly string[];
-    /** How this entry sees the upstream. */
+    /** The upstream's state as seen by this entry. */
     readonly member: string;
   }[];
-  /** Absent while another entry plans, or nobody. */
+  /** Absent unless this entry is the planner. */
   readonly planner?: {
     readonly epoch: number;
-    /** Requests a second that are planned for. */
+    /** Forecast rate that the plan is made for, in requests per second. */
     readonly forecastPerSecond: number;
     readonly serviceTimeMs: number;
     readonly places: readonly {
       readonly upstream: string;
       readonly reason: string;
-      /** Expected gain and cost of the place, in weighted answers in time over a minute. */
+      /** Expected gain and cost of the replica, in weighted on-time answers per minute. */
       readonly gain: number;
       readonly cost: number;
     }[];
-    /** True if the last plan found no room for the model. */
+    /** True if the last plan found no memory for the model. */
     readonly unplaced: boolean;
   };
 }
--- a/src/shell/entries/index.ts
+++ b/src/shell/entries/index.ts
@@ -1,5 +1,5 @@
-/** Asks entries how far they are, for operators. */
-export { askEntries } from './askentries.js';
+/** Queries entries for the operator commands. */
+export { queryEntries } from './queryentries.js';
 export { explainModel } from './explainmodel.js';
 export type { Explanation } from './explanation.js';
 export type { EntryReport } from './entryreport.js';
--- a/src/shell/entries/askentries.ts
+++ b/src/shell/entries/queryentries.ts
@@ -19,7 +19,7 @@
   }
 }
 
-/** Asks each entry for its status, all at once. */
-export function askEntries(urls: readonly string[]): Promise<readonly EntryReport[]> {
+/** Queries all entries for their status, concurrently. */
+export function queryEntries(urls: readonly string[]): Promise<readonly EntryReport[]> {
   return Promise.all(urls.map(ask));
 }
--- a/src/shell/hash/bearerhash.ts
+++ b/src/shell/hash/bearerhash.ts
@@ -3,7 +3,7 @@
 
 const BEARER = /^Bearer +(\S.*)$/i;
 
-/** Hash of the key in an `Authorization` header; undefined without a bearer key. */
+/** Returns the hash of the key in an `Authorization` header; undefined if it holds no bearer key. */
 export function bearerHash(authorization: string | undefined): KeyHash | undefined {
   const key = BEARER.exec(authorization ?? '')?.[1];
   return key === undefined ? undefined : hashKey(key.trimEnd());
--- a/src/shell/hash/hashkey.ts
+++ b/src/shell/hash/hashkey.ts
@@ -2,10 +2,10 @@
 import type { KeyHash } from '../../base/index.js';
 
 /**
- * The hash by which a key is kept and looked up: a look-up by hash takes as long for a key that is nearly
- * right as for any other, so that its time tells nothing of the keys that there are.
+ * Hashes an API key for storage and look-up. The time of a look-up by hash does not depend on how much of a key is
+ * right, so timing reveals nothing about existing keys.
  */
 export function hashKey(key: string): KeyHash {
-  // In one call: 10,000 keys of a configuration take 16 to 28 ms in place of 36 to 78 (crowded machine).
+  // The one-shot `hash` takes 16 to 28 ms for the 10,000 keys of a configuration, `createHash` 36 to 78 ms.
   return hash('sha256', key, 'hex') as KeyHash;
 }
--- a/src/shell/hash/index.ts
+++ b/src/shell/hash/index.ts
@@ -1,4 +1,4 @@
-/** Hashes that name requests and keys. */
+/** Hashes that identify requests and keys. */
 export { keyHash } from './keyhash.js';
 export { requestHash } from './requesthash.js';
 export { bearerHash } from './bearerhash.js';
--- a/src/shell/hosts/httphostlist.ts
+++ b/src/shell/hosts/httphostlist.ts
@@ -27,9 +27,9 @@
   },
 });
 
-/** Reads the list over HTTP, and only what has changed where the platform gives an `ETag`. */
+/** Reads the host list over HTTP. If the platform sends an `ETag`, an unchanged list is not transferred again. */
 export class HttpHostList implements HostList {
-  private tag = '';
+  private etag = '';
 
   private last: Hosts = [];
 
@@ -38,13 +38,13 @@
   async read(): ReturnType<HostList['read']> {
     const { url, timeoutMs } = this.settings;
     try {
-      const headers = this.tag ? { 'if-none-match': this.tag } : undefined;
+      const headers = this.etag ? { 'if-none-match': this.etag } : undefined;
       const answer = await fetch(url, { headers, signal: AbortSignal.timeout(timeoutMs) });
       if (answer.status === NOT_MODIFIED) return result.Ok(this.last);
       if (!answer.ok) return this.fail(`The host list answered ${answer.status}.`);
       const hosts: unknown = await answer.json();
       if (!check(hosts)) return this.fail('The host list is not an array of hosts.');
-      this.tag = answer.headers.get('etag') ?? '';
+      this.etag = answer.headers.get('etag') ?? '';
       this.last = hosts as Hosts;
       return result.Ok(this.last);
     } catch (thrown) {
--- a/src/shell/hosts/index.ts
+++ b/src/shell/hosts/index.ts
@@ -1,4 +1,4 @@
-/** Drivers of the platform's list of hosts. */
+/** Drivers of the platform's host list. */
 export { HttpHostList } from './httphostlist.js';
 export { hostListSchema } from './hostlistschema.js';
 export type { HostListSettings } from './hostlistsettings.js';
--- a/src/shell/http1/callonce.ts
+++ b/src/shell/http1/callonce.ts
@@ -3,21 +3,21 @@
 import type { Channel } from './channel.js';
 import type { Http1Call } from './http1call.js';
 
-/** A whole answer. */
+/** A complete answer. */
 interface Http1Answer {
   readonly status: number;
   readonly headers: readonly string[];
   readonly body: Buffer;
 }
 
-/** Why there is none. */
+/** Failure of a call without a complete answer. */
 interface CallFailure extends Failure {
   readonly type: 'call-failed';
-  /** False only if the request cannot have reached its peer. */
+  /** False only if the request cannot have reached the peer. */
   readonly sent: boolean;
 }
 
-/** Makes one call and collects its answer; after `timeoutMs` its connection is closed. */
+/** Makes one call and collects its answer. After `timeoutMs` the connection is closed and the call fails. */
 export function callOnce(
   channel: Channel,
   call: Http1Call,
@@ -30,7 +30,7 @@
     let headers: readonly string[] = [];
     const fail = (detail: string, sent: boolean) =>
       resolve(result.Err({ type: 'call-failed', detail, sent }));
-    let forget = () => {};
+    let cancelTimeout = () => {};
     const sent = channel.send(call, {
       head(gotStatus, gotHeaders) {
         status = gotStatus;
@@ -41,11 +41,11 @@
         return true;
       },
       end() {
-        forget();
+        cancelTimeout();
         resolve(result.Ok({ status, headers, body: Buffer.concat(chunks) }));
       },
       failed(failure) {
-        forget();
+        cancelTimeout();
         fail(failure.detail, failure.sent);
       },
     });
@@ -53,7 +53,7 @@
       fail('Every connection is in use.', false);
       return;
     }
-    forget = clock.after(timeoutMs, () => {
+    cancelTimeout = clock.after(timeoutMs, () => {
       const { hasLeft } = sent;
       sent.cancel();
       fail(`No answer within ${timeoutMs} ms.`, hasLeft);
--- a/src/shell/http1/channel.ts
+++ b/src/shell/http1/channel.ts
@@ -1,11 +1,11 @@
 import { FailureError, type Clock, type Ms } from '../../base/index.js';
 import type { Http1Call } from './http1call.js';
 import type { Http1Receiver } from './http1receiver.js';
-import type { Http1Sent } from './http1sent.js';
-import type { Link } from './link.js';
-import { openLink } from './openlink.js';
+import type { Http1Exchange } from './http1exchange.js';
+import type { Connection } from './connection.js';
+import { openConnection } from './openconnection.js';
 
-/** Options of a channel. */
+/** Options of a `Channel`. */
 interface ChannelOptions {
   readonly clock: Clock;
   readonly connectTimeoutMs: Ms;
@@ -13,9 +13,9 @@
   readonly maxConnections: number;
 }
 
-const WITHHELD = 'Its sender no longer wants it to leave.';
+const WITHHELD = 'The request was withheld: its sender no longer permits it.';
 
-/** Names of headers that say how a body ends; an answer with neither ends with its connection. */
+/** Headers that delimit a body. An answer with neither of them ends when its connection closes. */
 const FRAMING = new Set(['content-length', 'transfer-encoding']);
 
 function isFramed(status: number, headers: readonly string[]): boolean {
@@ -26,15 +26,15 @@
   return false;
 }
 
-/** Calls to one address, one at a time on each connection; the connection used last is used first. */
+/** Connection pool of one address. A connection carries one call at a time; the one used last is reused first. */
 export class Channel {
-  private readonly idle: Link[] = [];
+  private readonly idle: Connection[] = [];
 
-  private readonly links = new Set<Link>();
+  private readonly connections = new Set<Connection>();
 
   private isRetired = false;
 
-  /** Most connections at once; it changes with the number of processes that share the peer's own bound. */
+  /** Limit of open connections. It changes with the number of processes that share the peer's own limit. */
   maxConnections: number;
 
   constructor(
@@ -44,44 +44,48 @@
     this.maxConnections = options.maxConnections;
   }
 
-  /** Undefined if every connection that the channel may have is in use. */
-  send(call: Http1Call, receiver: Http1Receiver): Http1Sent | undefined {
-    const link = this.idle.pop() ?? this.add();
-    return link && this.dispatch(link, call, receiver);
+  /** Sends a request. Returns undefined if the connection limit is reached and no connection is idle. */
+  send(call: Http1Call, receiver: Http1Receiver): Http1Exchange | undefined {
+    const connection = this.idle.pop() ?? this.add();
+    return connection && this.dispatch(connection, call, receiver);
   }
 
-  /** Takes no more calls; those that run go on, and their connections close after them. */
+  /** Closes idle connections now, and each other connection after its running call. */
   retire(): void {
     this.isRetired = true;
-    for (const link of [...this.idle]) this.drop(link);
+    for (const connection of [...this.idle]) this.drop(connection);
   }
 
-  /** Closes every connection; calls that run fail. */
+  /** Closes all connections; running calls fail. */
   close(): void {
-    for (const link of [...this.links]) this.drop(link);
+    for (const connection of [...this.connections]) this.drop(connection);
   }
 
-  private add(): Link | undefined {
-    if (this.links.size >= this.maxConnections) return undefined;
-    const link = openLink(this.address, this.options, () => this.forget(link));
-    this.links.add(link);
-    return link;
+  private add(): Connection | undefined {
+    if (this.connections.size >= this.maxConnections) return undefined;
+    const connection = openConnection(this.address, this.options, () => this.forget(connection));
+    this.connections.add(connection);
+    return connection;
   }
 
-  private forget(link: Link): void {
-    this.links.delete(link);
-    const at = this.idle.indexOf(link);
+  private forget(connection: Connection): void {
+    this.connections.delete(connection);
+    const at = this.idle.indexOf(connection);
     if (at >= 0) this.idle.splice(at, 1);
   }
 
-  private drop(link: Link): void {
-    this.forget(link);
-    if (link.isClosed) return;
-    Object.assign(link, { isClosed: true });
-    void link.client.destroy().catch(() => undefined);
+  private drop(connection: Connection): void {
+    this.forget(connection);
+    if (connection.isClosed) return;
+    Object.assign(connection, { isClosed: true });
+    void connection.client.destroy().catch(() => undefined);
   }
 
-  private dispatch(link: Link, call: Http1Call, receiver: Http1Receiver): Http1Sent {
+  private dispatch(
+    connection: Connection,
+    call: Http1Call,
+    receiver: Http1Receiver,
+  ): Http1Exchange {
     let isSent = false;
     let isWithheld = false;
     let isOver = false;
@@ -90,11 +94,11 @@
     const fail = (detail: string) => {
       if (isOver) return;
       isOver = true;
-      this.drop(link);
+      this.drop(connection);
       const unsent = isWithheld ? 'withheld' : 'connection-failed';
       receiver.failed({ type: isSent ? 'connection-lost' : unsent, detail, sent: isSent });
     };
-    link.client.dispatch(
+    connection.client.dispatch(
       {
         method: call.method,
         path: call.path,
@@ -103,7 +107,7 @@
       },
       {
         onConnect: (abort: (error: Error) => void) => {
-          // A new connection takes its time to open, and a process may be suspended meanwhile.
+          // Opening a connection takes time, and the process may have been suspended meanwhile.
           if (call.mayLeave && !call.mayLeave()) {
             isWithheld = true;
             abort(new FailureError({ type: 'withheld', detail: WITHHELD }));
@@ -121,14 +125,14 @@
         },
         onData: (chunk: Buffer) => isOver || receiver.data(Buffer.from(chunk)),
         onComplete: () => {
-          if (!framed && link.isBroken) {
+          if (!framed && connection.isBroken) {
             fail('The connection was reset before the end of an answer without a length.');
             return;
           }
           if (isOver) return;
           isOver = true;
-          if (framed && !link.isClosed && !this.isRetired) this.idle.push(link);
-          else this.drop(link);
+          if (framed && !connection.isClosed && !this.isRetired) this.idle.push(connection);
+          else this.drop(connection);
           receiver.end();
         },
         onError: (error: Error) => fail(error.message),
@@ -141,7 +145,7 @@
       cancel: () => {
         if (isOver) return;
         isOver = true;
-        this.drop(link);
+        this.drop(connection);
       },
       resume: () => resume(),
     };
--- a/src/shell/http1/http1call.ts
+++ b/src/shell/http1/http1call.ts
@@ -1,10 +1,10 @@
-/** One HTTP/1.1 request, its body whole. */
+/** One HTTP/1.1 request with its complete body. */
 export interface Http1Call {
   readonly method: string;
   readonly path: string;
   /** Alternates names and values, without `Content-Length` and `Connection`. */
   readonly headers: readonly string[];
   readonly body?: Buffer;
-  /** Asked right before the first byte leaves; if it says no, none does. */
+  /** Called right before the first byte is sent; if it returns false, nothing is sent. */
   readonly mayLeave?: () => boolean;
 }
--- a/src/shell/log/createaudit.ts
+++ b/src/shell/log/createaudit.ts
@@ -1,6 +1,6 @@
 import type { Audit, Log } from '../../port/index.js';
 
-/** Writes audit entries to the log, each under the message `audit`. */
+/** Creates an audit driver that writes each entry to the log with the message `audit`. */
 export function createAudit(log: Log): Audit {
   return {
     write(entry) {
--- a/src/shell/log/createboundedlog.ts
+++ b/src/shell/log/createboundedlog.ts
@@ -11,20 +11,17 @@
   readonly clock: Clock;
 }
 
-/**
- * A line costs 26 to 44 us (20,000 lines to a stream that discards them, on a busy machine), so that a full
- * budget takes at most 3% of half a core.
- */
-const BUDGET = { ordinary: 120, important: 200 };
-/** With this much waiting for a reader, nothing more is written: about 3 s of a full budget. */
-const MOST_WAITING_BYTES = 262_144;
-/** The message and end of lines that are left out first. */
+/** Lines per second. One line costs 26 to 44 us, so both limits together take at most 3% of half a core. */
+const LINES_PER_SECOND = { ordinary: 120, important: 200 };
+/** No lines are written while this much output is buffered: about 3 s at the full rate. */
+const MAX_BUFFERED_BYTES = 262_144;
+/** Message and `end` field that mark a line about a successful request. */
 const ORDINARY_MESSAGE = 'request';
 const ORDINARY_END = 'answered';
 
 /**
- * A structured log, one JSON object a line. It never waits: lines beyond its budget, or that nobody
- * reads, are left out and counted.
+ * Creates a structured log that writes one JSON object per line and never blocks. Lines beyond the rate limit, or
+ * written while the reader has stalled, are dropped and counted.
  */
 export function createBoundedLog({ process, out, clock }: BoundedLogOptions): Log {
   const logger = winston.createLogger({
@@ -32,15 +29,15 @@
     format: winston.format.combine(winston.format.timestamp(), winston.format.json()),
     transports: [new winston.transports.Stream({ stream: out })],
   });
-  const budget = new LineBudget(BUDGET);
-  const isStalled = () => out.writableLength > MOST_WAITING_BYTES;
+  const budget = new LineBudget(LINES_PER_SECOND);
+  const isStalled = () => out.writableLength > MAX_BUFFERED_BYTES;
   const write =
     (level: 'info' | 'warn' | 'error') =>
     (message: string, fields: Readonly<Record<string, unknown>> = {}) => {
-      const leftOut = isStalled() ? 0 : budget.turn(clock.nowMs());
-      if (leftOut > 0) logger.warn('lines left out', { leftOut });
+      const droppedCount = isStalled() ? 0 : budget.startSecond(clock.nowMs());
+      if (droppedCount > 0) logger.warn('lines left out', { leftOut: droppedCount });
       const isOrdinary = message === ORDINARY_MESSAGE && fields.end === ORDINARY_END;
-      if (isStalled()) budget.lose();
+      if (isStalled()) budget.countDropped();
       else if (budget.take(isOrdinary)) logger.log(level, message, fields);
     };
   return { info: write('info'), warn: write('warn'), error: write('error') };
--- a/src/shell/log/createlog.ts
+++ b/src/shell/log/createlog.ts
@@ -1,7 +1,7 @@
 import winston from 'winston';
 import type { Log } from '../../port/index.js';
 
-/** A structured log, one JSON object a line on standard error. */
+/** Creates a structured log that writes one JSON object per line to standard error. */
 export function createLog(process: string, level: string): Log {
   const logger = winston.createLogger({
     level,
@@ -11,7 +11,7 @@
       new winston.transports.Console({ stderrLevels: ['error', 'warn', 'info', 'debug'] }),
     ],
   });
-  // The library formats what it then does not write, so the level is looked at here.
+  // winston formats a line before it checks the level; checking here first saves that cost.
   return {
     info(message, fields) {
       if (logger.isLevelEnabled('info')) logger.info(message, fields);
--- a/src/shell/log/index.ts
+++ b/src/shell/log/index.ts
@@ -1,4 +1,4 @@
-/** The log driver. */
+/** Log drivers. */
 export { createLog } from './createlog.js';
 export { createAudit } from './createaudit.js';
 export { createBoundedLog } from './createboundedlog.js';
--- a/src/shell/log/linebudget.ts
+++ b/src/shell/log/linebudget.ts
@@ -1,8 +1,8 @@
 import type { Ms } from '../../base/index.js';
 
-/** What may be written in a second, and what was left out. */
-interface Budget {
-  /** Lines of requests that went well. */
+/** Most lines that may be written within one second. */
+interface LineLimits {
+  /** Lines about requests that succeeded. */
   readonly ordinary: number;
   /** Every other line. */
   readonly important: number;
@@ -10,7 +10,7 @@
 
 const SECOND_MS = 1000;
 
-/** Bounds the lines of each second; what went well is left out before what did not. */
+/** Rate limit for log lines. Lines about successful requests have their own limit, so they never displace others. */
 export class LineBudget {
   private secondAtMs: Ms = 0;
 
@@ -18,16 +18,16 @@
 
   private important = 0;
 
-  private leftOut = 0;
+  private droppedCount = 0;
 
-  constructor(private readonly budget: Budget) {}
+  constructor(private readonly limits: LineLimits) {}
 
-  /** Whether a line may be written now. */
+  /** Counts a line against its limit. False if the limit of this second is used up. */
   take(isOrdinary: boolean): boolean {
     const used = isOrdinary ? this.ordinary : this.important;
-    const most = isOrdinary ? this.budget.ordinary : this.budget.important;
-    if (used >= most) {
-      this.leftOut += 1;
+    const limit = isOrdinary ? this.limits.ordinary : this.limits.important;
+    if (used >= limit) {
+      this.droppedCount += 1;
       return false;
     }
     if (isOrdinary) this.ordinary += 1;
@@ -35,19 +35,19 @@
     return true;
   }
 
-  /** Begins a new second if it is time; gives how many lines the one before left out. */
-  turn(nowMs: Ms): number {
+  /** Starts a new second if one has passed. Returns how many lines were dropped in the previous one. */
+  startSecond(nowMs: Ms): number {
     if (nowMs - this.secondAtMs < SECOND_MS) return 0;
     this.secondAtMs = nowMs;
     this.ordinary = 0;
     this.important = 0;
-    const { leftOut } = this;
-    this.leftOut = 0;
-    return leftOut;
+    const { droppedCount } = this;
+    this.droppedCount = 0;
+    return droppedCount;
   }
 
-  /** A line that could not be written, whatever its kind. */
-  lose(): void {
-    this.leftOut += 1;
+  /** Counts a line that was dropped without a check of its limit. */
+  countDropped(): void {
+    this.droppedCount += 1;
   }
 }
--- a/src/shell/loop/afterreads.ts
+++ b/src/shell/loop/afterreads.ts
@@ -1,21 +1,22 @@
 import type { Clock, Ms } from '../../base/index.js';
 
-/** A round of reads that took longer says nothing of what arrived meanwhile. */
-const LONGEST_ROUND_MS: Ms = 200;
+/** If one iteration of the event loop takes longer, more may have arrived meanwhile, and another one is awaited. */
+const MAX_ITERATION_MS: Ms = 200;
 
-function readRound(clock: Clock, act: () => void): void {
-  const beganAtMs = clock.nowMs();
+function afterIteration(clock: Clock, act: () => void): void {
+  const startedAtMs = clock.nowMs();
   setImmediate(() => {
-    if (clock.nowMs() - beganAtMs > LONGEST_ROUND_MS) readRound(clock, act);
+    if (clock.nowMs() - startedAtMs > MAX_ITERATION_MS) afterIteration(clock, act);
     else act();
   });
 }
 
 /**
- * Calls `act` after what had arrived on sockets has been read. After a standstill the event loop runs late timers before
- * it reads the closes and connections that arrived earlier, and it reads a close one round after the data before it.
+ * Calls `act` after everything that has arrived on sockets has been read. After a stall the event loop runs late timers
+ * before it reads closes and connections that arrived earlier, and it reads a close one iteration after the data
+ * before it.
  */
 export function afterReads(clock: Clock, act: () => void): void {
-  // This immediate may run before the next round of reads; one set by it runs after a whole round.
-  setImmediate(() => readRound(clock, act));
+  // This immediate may run before the next poll for reads. One that it schedules runs after a full iteration.
+  setImmediate(() => afterIteration(clock, act));
 }
--- a/src/shell/loop/index.ts
+++ b/src/shell/loop/index.ts
@@ -1,2 +1,2 @@
-/** The order in which the event loop reads what has arrived. */
+/** Ordering of timers and socket reads in the event loop. */
 export { afterReads } from './afterreads.js';
--- a/src/shell/mesh/fromwire.ts
+++ b/src/shell/mesh/fromwire.ts
@@ -1,18 +1,18 @@
 import type { MeshBatch, MeshRecord } from '../../core/mesh/index.js';
 import type { Record, RecordBatch } from '../../wire/index.js';
-import { membersOf } from './membersof.js';
+import { sidecarAddressesOf } from './sidecaraddressesof.js';
 
 const DOCUMENTS = 'document/';
 
 function recordFrom({ key, epoch, sequence, value, origin }: Record): MeshRecord {
   const record = { key, epoch, sequence, value, origin };
   if (!key.startsWith(DOCUMENTS) || value.length === 0) return record;
-  return { ...record, members: membersOf(value.toString()) };
+  return { ...record, members: sidecarAddressesOf(value.toString()) };
 }
 
 /**
- * Turns a received batch into the core's. Documents that are not newer than what is held (`isHeld`) are
- * not read for their members.
+ * Converts a received batch to the type of the core. Records for which `isHeld` is true, because the local copy is at
+ * least as new, are left out: that saves parsing their documents.
  */
 export function fromWire(batch: RecordBatch, isHeld: (record: Record) => boolean): MeshBatch {
   const { host, revision, hash, caughtUp, truncated } = batch;
--- a/src/shell/mesh/index.ts
+++ b/src/shell/mesh/index.ts
@@ -1,4 +1,4 @@
-/** The shell of the dissemination: gRPC, the store's watch and timers around src/core/mesh. */
+/** Drivers around src/core/mesh, which replicates the board: gRPC calls, the watch on the store and timers. */
 export { MeshBoard } from './meshboard.js';
 export { recordOf } from './recordof.js';
 export { serveMesh } from './servemesh.js';
--- a/src/shell/mesh/hostpoll.ts
+++ b/src/shell/mesh/membershippoller.ts
@@ -2,8 +2,8 @@
 import type { MeshEvent } from '../../core/mesh/index.js';
 import type { MeshBoardOptions } from './meshboardoptions.js';
 
-/** Reads the host list again and again; what was read last stays when a reading fails. */
-export class HostPoll {
+/** Polls the host list. After a failed read the last list stays in use. */
+export class MembershipPoller {
   private stopped = false;
 
   private cancel: () => void = () => {};
@@ -11,7 +11,7 @@
   constructor(
     private readonly options: MeshBoardOptions,
     private readonly pollMs: Ms,
-    private readonly tell: (event: MeshEvent) => void,
+    private readonly emit: (event: MeshEvent) => void,
   ) {}
 
   start(): void {
@@ -27,13 +27,13 @@
     const { hostList, region, clock, log } = this.options;
     const read = await hostList?.read();
     if (this.stopped) return;
-    if (read?.err) log.warn('host list not read', { failure: read.val.type });
+    if (read?.err) log.warn('host list not read; keeping the last one', { failure: read.val.type });
     if (read?.ok) {
       const hosts = read.val.filter((host) => host.region === region);
       const entries = hosts
         .filter(({ role }) => role === 'entry')
         .map(({ id, address, state }) => ({ id, address, state }));
-      this.tell({ type: 'hostList', entries, listedIds: hosts.map(({ id }) => id) });
+      this.emit({ type: 'hostList', entries, listedIds: hosts.map(({ id }) => id) });
       const own = hosts.find(({ id }) => id === this.options.hostId);
       if (own?.state === 'leaving') this.options.onLeaving?.();
     }
--- a/src/shell/mesh/meshboard.ts
+++ b/src/shell/mesh/meshboard.ts
@@ -13,7 +13,7 @@
 import type { MeshServer, RecordBatch } from '../../wire/index.js';
 import type { Board, BoardRecord, BoardStatus } from '../board/index.js';
 import { fromWire } from './fromwire.js';
-import { HostPoll } from './hostpoll.js';
+import { MembershipPoller } from './membershippoller.js';
 import type { MeshBoardOptions } from './meshboardoptions.js';
 import { MeshCalls } from './meshcalls.js';
 import { MeshClients } from './meshclients.js';
@@ -24,7 +24,7 @@
 const HOST_LIST_POLL_MS = 5000;
 const DOCUMENTS = 'document/';
 
-type Carriers = {
+type EffectHandlers = {
   readonly [Type in MeshEffect['type']]: (effect: Extract<MeshEffect, { type: Type }>) => void;
 };
 
@@ -32,20 +32,20 @@
   return { key, epoch, sequence, value: value as Buffer, origin };
 }
 
-/** The board of a daemon: the records that this process shares with its region. */
+/** Board of a daemon: runs the state machine of src/core/mesh, which replicates records within the region. */
 export class MeshBoard implements Board {
   private state: MeshState;
 
   private readonly listeners = new Set<(record: BoardRecord) => void>();
 
-  /** Key of the document that names a sidecar, by the sidecar's address. */
-  private readonly documentOf = new Map<string, string>();
+  /** Key of the document that lists a sidecar, by the sidecar's address. */
+  private readonly documentBySidecar = new Map<string, string>();
 
   private readonly calls: MeshCalls;
 
   private readonly watch: StoreWatch;
 
-  private readonly hosts: HostPoll;
+  private readonly membershipPoller: MembershipPoller;
 
   private readonly events: MeshEvent[] = [];
 
@@ -53,8 +53,8 @@
 
   private stopTick: () => void = () => {};
 
-  private readonly carriers: Carriers = {
-    adopted: ({ records }) => this.announce(records),
+  private readonly effectHandlers: EffectHandlers = {
+    adopted: ({ records }) => this.notifyListeners(records),
     push: ({ to, batch }) => {
       void this.calls.push(to, batch);
     },
@@ -80,30 +80,32 @@
       clients: new MeshClients(options.callTimeoutMs ?? CALL_TIMEOUT_MS, options.credentials),
       metrics: options.metrics,
       read: (batch) => this.read(batch),
-      tell: (event) => this.dispatch(event),
+      emit: (event) => this.dispatch(event),
     });
     this.watch = new StoreWatch(options.store, options.region, (event) => this.dispatch(event));
-    this.hosts = new HostPoll(options, options.hostListPollMs ?? HOST_LIST_POLL_MS, (event) =>
-      this.dispatch(event),
+    this.membershipPoller = new MembershipPoller(
+      options,
+      options.hostListPollMs ?? HOST_LIST_POLL_MS,
+      (event) => this.dispatch(event),
     );
   }
 
-  /** Handlers of the gRPC service `Mesh`, to be added to the process's server. */
+  /** Returns the handlers of the gRPC service `Mesh`, to be added to the process's server. */
   handlers(): MeshServer {
     return this.calls.handlers();
   }
 
-  /** Begins to exchange records; `address` is where peers reach this process. */
+  /** Starts replication. `address` is where peers reach this process. */
   start(address: string): void {
     this.dispatch({ type: 'listening', address });
-    this.hosts.start();
+    this.membershipPoller.start();
     this.tick();
   }
 
-  /** Stops asking and telling. What is held stays readable. */
+  /** Stops replication. The local copy stays readable. */
   stop(): void {
     this.stopTick();
-    this.hosts.stop();
+    this.membershipPoller.stop();
     this.watch.close();
     this.calls.close();
   }
@@ -126,9 +128,9 @@
     this.dispatch({ type: 'published', record: { ...record, origin } });
   }
 
-  onChange(prefix: string, tell: (record: BoardRecord) => void): () => void {
+  onChange(prefix: string, notify: (record: BoardRecord) => void): () => void {
     const listener = (record: BoardRecord) => {
-      if (record.key.startsWith(prefix)) tell(record);
+      if (record.key.startsWith(prefix)) notify(record);
     };
     this.listeners.add(listener);
     return () => this.listeners.delete(listener);
@@ -139,19 +141,19 @@
     return (this.state.records.get(`${DOCUMENTS}${service}`)?.sequence ?? 0) as Revision;
   }
 
-  revisionAt(sidecarAddress: string): Revision {
-    const key = this.documentOf.get(sidecarAddress) ?? '';
+  revisionForSidecar(sidecarAddress: string): Revision {
+    const key = this.documentBySidecar.get(sidecarAddress) ?? '';
     return (this.state.records.get(key)?.sequence ?? 0) as Revision;
   }
 
-  sawRevision(revision: Revision, fromAddress: string): void {
+  observeRevision(revision: Revision, fromAddress: string): void {
     if (revision <= this.state.revision) return;
     this.dispatch({ type: 'revisionSeen', revision, from: fromAddress });
   }
 
   caughtUp(): boolean {
     const { phase } = this.state.catchUp;
-    // With nothing in hand there is nothing to serve, however long the wait was.
+    // Without any document there is nothing to serve, even after the time limit.
     return phase === 'current' || (phase === 'uncertain' && this.state.revision > 0);
   }
 
@@ -176,7 +178,7 @@
     };
   }
 
-  /** Events that come while effects are carried out wait for their turn. */
+  /** Processes an event. Events that arrive while effects are being executed are queued behind it. */
   private dispatch(event: MeshEvent): void {
     this.events.push(event);
     if (this.busy) return;
@@ -192,8 +194,8 @@
     const { state, effects } = stepMesh(this.state, event, this.options.clock.nowMs());
     this.state = state;
     for (const effect of effects) {
-      const carry = this.carriers[effect.type] as (carried: MeshEffect) => void;
-      carry(effect);
+      const handle = this.effectHandlers[effect.type] as (handled: MeshEffect) => void;
+      handle(effect);
     }
   }
 
@@ -206,11 +208,11 @@
     return fromWire(batch, (record) => !isNewer(record, this.state.records.get(record.key)));
   }
 
-  private announce(records: readonly MeshRecord[]): void {
+  private notifyListeners(records: readonly MeshRecord[]): void {
     this.options.metrics.gauge('mesh.revision', this.state.revision);
     this.options.metrics.gauge('mesh.records', this.state.records.size);
     for (const record of records) {
-      for (const address of record.members ?? []) this.documentOf.set(address, record.key);
+      for (const address of record.members ?? []) this.documentBySidecar.set(address, record.key);
       for (const listener of this.listeners) listener(toBoard(record));
     }
   }
@@ -218,6 +220,6 @@
   private logCaughtUp(phase: 'current' | 'uncertain'): void {
     const { revision } = this.state;
     if (phase === 'current') this.options.log.info('caught up', { revision });
-    else this.options.log.warn('not caught up in time; serving from what is here', { revision });
+    else this.options.log.warn('not caught up in time; serving from the local copy', { revision });
   }
 }
--- a/src/shell/mesh/meshboardoptions.ts
+++ b/src/shell/mesh/meshboardoptions.ts
@@ -3,30 +3,30 @@
 import type { MeshOptions } from '../../core/mesh/index.js';
 import type { HostList, KeyValueStore, Log, Metrics } from '../../port/index.js';
 
-/** Options of a process's board. */
+/** Options of a `MeshBoard`. */
 export interface MeshBoardOptions {
   readonly hostId: HostId;
   readonly region: string;
   readonly role: 'entry' | 'sidecar';
-  /** Keys that this process holds; empty, the default, means all. */
+  /** Keys of the records that this process keeps; empty, the default, means all. */
   readonly interests?: readonly string[];
   readonly clock: Clock;
   readonly log: Log;
   readonly metrics: Metrics;
   readonly store: KeyValueStore;
-  /** False when `store` only stands in for an absent one. */
+  /** False if no store is configured and `store` fails every call. */
   readonly hasStore: boolean;
-  /** Without one this process is alone. */
+  /** Source of peer addresses; without it this process replicates with nobody. */
   readonly hostList?: HostList;
-  /** Time between two readings of the host list; 5000 by default. */
+  /** Polling interval of the host list; 5000 by default. */
   readonly hostListPollMs?: Ms;
-  /** Called each time that the host list is read and shows this host as leaving. */
+  /** Called after each read of the host list that shows this host as leaving. */
   readonly onLeaving?: () => void;
-  /** Seed of the choice of peers. */
+  /** Seed of the random choice of peers. */
   readonly seed: number;
-  /** Longest wait for a peer's answer; 300 by default. */
+  /** Timeout of a call to a peer; 300 by default. */
   readonly callTimeoutMs?: Ms;
-  /** How peers are met; unauthenticated by default. */
+  /** Credentials of calls to peers; unauthenticated by default. */
   readonly credentials?: ChannelCredentials;
   readonly tuning?: Partial<MeshOptions>;
 }
--- a/src/shell/mesh/meshclients.ts
+++ b/src/shell/mesh/meshclients.ts
@@ -6,8 +6,8 @@
 
 const MESSAGE_BYTES = 16_777_216;
 const GZIP = 2;
-/** A peer that comes back at its old address is reached again within this. */
-const RECONNECT_MS = 1000;
+/** Longest time until a restarted peer is reached again at the same address. */
+const MAX_RECONNECT_MS = 1000;
 
 const CHANNEL = {
   'grpc.max_send_message_length': MESSAGE_BYTES,
@@ -15,16 +15,16 @@
   'grpc.default_compression_algorithm': GZIP,
   'grpc.initial_reconnect_backoff_ms': 100,
   'grpc.min_reconnect_backoff_ms': 100,
-  'grpc.max_reconnect_backoff_ms': RECONNECT_MS,
+  'grpc.max_reconnect_backoff_ms': MAX_RECONNECT_MS,
   'grpc.client_idle_timeout_ms': 120_000,
   'grpc.enable_retries': 0,
-  // One process has one client of its own for each peer; processes in one test share none.
+  // Connections are not shared between instances, so a test can run several peers in one process.
   'grpc.use_local_subchannel_pool': 1,
 };
 
 type Reply<Message> = (error: ServiceError | null, message: Message) => void;
 
-/** Connections to peers, made when first needed and dropped when idle. */
+/** gRPC clients by peer address. A connection opens on the first call and closes when idle. */
 export class MeshClients {
   private readonly clients = new Map<string, MeshClient>();
 
--- a/src/shell/mesh/meshfailure.ts
+++ b/src/shell/mesh/meshfailure.ts
@@ -1,6 +1,6 @@
 import type { Failure } from '../../base/index.js';
 
-/** A call to a peer that gave no answer. */
+/** Failure of a call to a peer. */
 export interface MeshFailure extends Failure {
   readonly type: 'peer-unreachable';
   readonly address: string;
--- a/src/shell/mesh/recordof.ts
+++ b/src/shell/mesh/recordof.ts
@@ -1,9 +1,9 @@
 import { parse } from 'jsonc-parser';
 import type { MeshRecord } from '../../core/mesh/index.js';
 import type { KeyValue } from '../../port/index.js';
-import { membersOf } from './membersof.js';
+import { sidecarAddressesOf } from './sidecaraddressesof.js';
 
-interface Stored {
+interface StoredValue {
   readonly document?: string;
 }
 
@@ -11,7 +11,7 @@
 
 function textOf(value: string): string {
   try {
-    return (JSON.parse(value) as Stored).document ?? '';
+    return (JSON.parse(value) as StoredValue).document ?? '';
   } catch {
     return '';
   }
@@ -23,8 +23,8 @@
 }
 
 /**
- * The board's record for a service's key in the store. A document of another region becomes an empty
- * record: its revision counts here, its contents do not concern this region.
+ * Converts a key of the store to a record of the board. A document of another region becomes an empty record: its
+ * revision has to be known here, its contents don't.
  */
 export function recordOf(item: KeyValue, prefix: string, region: string): MeshRecord {
   const key = `document/${item.key.slice(prefix.length)}`;
@@ -32,5 +32,5 @@
   const text = textOf(item.value);
   const ownRegion = regionOf(text);
   if (ownRegion !== undefined && ownRegion !== region) return { ...head, value: EMPTY };
-  return { ...head, value: Buffer.from(text), members: membersOf(text) };
+  return { ...head, value: Buffer.from(text), members: sidecarAddressesOf(text) };
 }
--- a/src/shell/mesh/servemesh.ts
+++ b/src/shell/mesh/servemesh.ts
@@ -6,14 +6,14 @@
 
 const MESSAGE_BYTES = 16_777_216;
 
-/** A listener that carries the mesh alone. */
+/** A gRPC listener that serves only `Mesh`. */
 interface MeshListener {
-  /** IP number and port that it is bound to. */
+  /** IP address and port that the listener is bound to. */
   readonly address: string;
   close(): void;
 }
 
-/** Opens a gRPC listener for a board and starts the board's exchange. */
+/** Opens a gRPC listener for a board and starts the board's replication. */
 export function serveMesh(
   board: Pick<MeshBoard, 'handlers' | 'start' | 'stop'>,
   listen: string,
--- a/src/shell/mesh/storewatch.ts
+++ b/src/shell/mesh/storewatch.ts
@@ -6,17 +6,17 @@
 
 const EMPTY = new Uint8Array(0);
 
-/** A relay's side of the store: lists and watches the documents, and tells the core. */
+/** Lists and watches the documents in the store on behalf of a relay, and emits the results as mesh events. */
 export class StoreWatch {
   private stopWatch: () => void = () => {};
 
-  /** Prefix of the own region's keys in the store. */
+  /** Key prefix of this region's documents in the store. */
   private readonly prefix: string;
 
   constructor(
     private readonly store: KeyValueStore,
     private readonly region: string,
-    private readonly tell: (event: MeshEvent) => void,
+    private readonly emit: (event: MeshEvent) => void,
   ) {
     this.prefix = serviceKey.under(region);
   }
@@ -24,12 +24,12 @@
   async list(): Promise<void> {
     const listed = await this.store.list(this.prefix);
     if (listed.err) {
-      this.tell({ type: 'storeFailed' });
+      this.emit({ type: 'storeFailed' });
       return;
     }
     const { items, revision } = listed.val;
     const records = items.map((item) => recordOf(item, this.prefix, this.region));
-    this.tell({ type: 'storeListed', records, revision });
+    this.emit({ type: 'storeListed', records, revision });
   }
 
   open(fromRevision: number): void {
@@ -38,7 +38,7 @@
     const stop = this.store.watch(this.prefix, fromRevision as Revision, (event) => {
       if (!open) return;
       if (event.type === 'ended') open = false;
-      this.carry(event);
+      this.emitWatchEvent(event);
     });
     this.stopWatch = () => {
       open = false;
@@ -51,13 +51,13 @@
     this.stopWatch = () => {};
   }
 
-  private carry(event: WatchEvent): void {
+  private emitWatchEvent(event: WatchEvent): void {
     if (event.type === 'ended') {
       const compacted = event.failure.type === 'store-compacted';
-      this.tell({ type: 'watchEnded', compacted });
+      this.emit({ type: 'watchEnded', compacted });
       return;
     }
-    this.tell({ type: 'watchTold', record: this.recordFrom(event) });
+    this.emit({ type: 'watchTold', record: this.recordFrom(event) });
   }
 
   private recordFrom(event: Exclude<WatchEvent, { type: 'ended' }>): MeshRecord {
--- a/src/shell/mesh/towire.ts
+++ b/src/shell/mesh/towire.ts
@@ -1,7 +1,7 @@
 import type { MeshBatch } from '../../core/mesh/index.js';
 import type { RecordBatch } from '../../wire/index.js';
 
-/** Turns a batch of the core into the message that carries it. */
+/** Converts a batch of the core to its wire message. */
 export function toWire(batch: MeshBatch): RecordBatch {
   const records = batch.records.map(({ key, epoch, sequence, value, origin }) => ({
     key,
--- a/src/shell/metric/createmetrics.ts
+++ b/src/shell/metric/createmetrics.ts
@@ -5,15 +5,15 @@
 
 const MAX_DATAGRAM_BYTES = 1400;
 
-// The library's own mock keeps every message, so it is no way to send nothing.
-const NOTHING: MetricsDriver = { count() {}, gauge() {}, histogram() {}, close() {} };
+// The mock mode of hot-shots stores every message, so it can't be used for this.
+const NO_METRICS: MetricsDriver = { count() {}, gauge() {}, histogram() {}, close() {} };
 
-/** Sends metrics as statsd datagrams over UDP; without an address it sends nothing. */
+/** Creates a driver that sends metrics as statsd datagrams over UDP. Without an address it discards them. */
 export function createMetrics(
   process: string,
   address: { readonly host: string; readonly port: number } | undefined,
 ): MetricsDriver {
-  if (!address) return NOTHING;
+  if (!address) return NO_METRICS;
   const client = new StatsD({
     ...address,
     prefix: `tarragonstile.${process}.`,
--- a/src/shell/metric/statsdschema.ts
+++ b/src/shell/metric/statsdschema.ts
@@ -1,6 +1,6 @@
 const MAX_PORT = 65_535;
 
-/** Schema of `statsd`: where metrics are sent; null or absent means nowhere. */
+/** Schema of the `statsd` field: address that metrics are sent to; if null or absent, none are sent. */
 export const statsdSchema = {
   type: 'object',
   nullable: true,
--- a/src/shell/metric/textmetrics.ts
+++ b/src/shell/metric/textmetrics.ts
@@ -3,14 +3,14 @@
 
 type Tags = Readonly<Record<string, string>>;
 
-/** Upper ends of a histogram's buckets, in ms: from an adapter's load to the longest deadline. */
+/** Upper bounds of histogram buckets, in ms: from the load time of an adapter to the longest deadline. */
 const BUCKETS_MS = [10, 25, 50, 100, 150, 250, 500, 1000, 2000, 4000, 8000, 16_000];
 
-function nameOf(name: string): string {
+function metricName(name: string): string {
   return `tarragonstile_${name.replaceAll(/[^a-z0-9]+/gi, '_')}`;
 }
 
-/** Metrics that are read as text: each name becomes a metric when it is first used. */
+/** Metrics in memory, exposed as text. A metric is created when its name is first used. */
 export class TextMetrics implements Metrics {
   private readonly registry = new Registry();
 
@@ -47,13 +47,18 @@
     histogram.observe({ ...tags }, value);
   }
 
-  /** All of it, in the text format that scrapers read. */
+  /** Returns all metrics in the Prometheus text format. */
   text(): Promise<string> {
     return this.registry.metrics();
   }
 
   private options(name: string, tags: Tags) {
     const help = `See docs/METRICS.md: ${name}.`;
-    return { name: nameOf(name), help, labelNames: Object.keys(tags), registers: [this.registry] };
+    return {
+      name: metricName(name),
+      help,
+      labelNames: Object.keys(tags),
+      registers: [this.registry],
+    };
   }
 }
--- a/src/shell/rpc/batcher.ts
+++ b/src/shell/rpc/batcher.ts
@@ -6,65 +6,66 @@
   once(event: 'drain', act: () => void): unknown;
 }
 
-/** Options of a batcher. */
+/** Options of a `Batcher`. */
 interface BatcherOptions {
-  /** Highest configuration revision in force here. */
+  /** Returns the highest configuration revision in force at this process. */
   readonly revision: () => number;
 }
 
-/** A busy stream sends a batch no more often than this; see docs/design/link.md. */
-const WINDOW_MS = 4;
+/** Shortest interval between batches on a busy stream; see docs/design/link.md. */
+const BATCH_INTERVAL_MS = 4;
 
 /**
- * Collects frames into one message, which costs far more than a frame in it. On a quiet stream they
- * leave with the turn of the event loop; on a busy one within the window, but what somebody waits for
- * still leaves with the turn. While the stream is full, frames wait here: credit bounds their number.
+ * Collects frames into one message, since a message costs far more than a frame within it. On a quiet stream, frames
+ * are sent at the end of the current event-loop iteration. On a busy stream, urgent frames are too, and all others
+ * are sent once per batch interval. While the stream exerts back-pressure, frames queue here; credit bounds their
+ * number.
  */
 export class Batcher {
   private frames: Frame[] = [];
 
-  private turnIsDue = false;
+  private isFlushScheduled = false;
 
   private timer: NodeJS.Timeout | undefined;
 
   private sentAtMs = 0;
 
-  private blocked = false;
+  private isBlocked = false;
 
   constructor(
     private readonly sink: Sink,
     private readonly options: BatcherOptions,
   ) {}
 
-  /** `urgent` frames do not wait for the window. */
+  /** Queues a frame. `urgent` frames do not wait for the batch interval. */
   push(frame: Frame, urgent = true): void {
     this.frames.push(frame);
-    if (this.turnIsDue || this.blocked) return;
-    const waitMs = urgent ? 0 : this.sentAtMs + WINDOW_MS - performance.now();
-    if (waitMs <= 0) this.flushThisTurn();
+    if (this.isFlushScheduled || this.isBlocked) return;
+    const waitMs = urgent ? 0 : this.sentAtMs + BATCH_INTERVAL_MS - performance.now();
+    if (waitMs <= 0) this.scheduleFlush();
     else this.timer ??= setTimeout(() => this.flush(), waitMs);
   }
 
-  /** Sends what is held at once; `leaving` marks the batch so. */
+  /** Sends the queued frames now. `leaving` sets that flag on the batch and ignores back-pressure. */
   flush(leaving = false): void {
-    this.turnIsDue = false;
+    this.isFlushScheduled = false;
     clearTimeout(this.timer);
     this.timer = undefined;
-    if (this.blocked && !leaving) return;
+    if (this.isBlocked && !leaving) return;
     if (this.frames.length === 0 && !leaving) return;
     const { frames } = this;
     this.frames = [];
     this.sentAtMs = performance.now();
     if (this.sink.write({ frames, revision: this.options.revision(), leaving })) return;
-    this.blocked = true;
+    this.isBlocked = true;
     this.sink.once('drain', () => {
-      this.blocked = false;
+      this.isBlocked = false;
       this.flush();
     });
   }
 
-  private flushThisTurn(): void {
-    this.turnIsDue = true;
+  private scheduleFlush(): void {
+    this.isFlushScheduled = true;
     setImmediate(() => this.flush());
   }
 }
--- a/src/shell/rpc/channeloptions.ts
+++ b/src/shell/rpc/channeloptions.ts
@@ -2,7 +2,7 @@
 
 const MEBIBYTE = 1_048_576;
 
-/** Options of the gRPC hop, at both of its ends. */
+/** Options common to both ends of the gRPC hop. */
 const common: ChannelOptions = {
   'grpc.initial_reconnect_backoff_ms': 100,
   'grpc.min_reconnect_backoff_ms': 100,
@@ -14,9 +14,9 @@
 };
 
 /**
- * Options of either end. A client notices a server that is frozen or cut off within the sum of its two
- * times; a server has less to lose by a client, and so asks less often: the pings of an entry that is
- * connected to a thousand sidecars have to fit its few kilobytes a second.
+ * gRPC channel options of client and server. A client detects a frozen or disconnected server within the sum of its two
+ * keepalive times. A server loses less by a dead client and pings less often: the pings of an entry with a thousand
+ * sidecars have to fit into a few kilobytes per second.
  */
 export const channelOptions = {
   client: {
--- a/src/shell/rpc/index.ts
+++ b/src/shell/rpc/index.ts
@@ -1,4 +1,4 @@
-/** What both ends of the gRPC hop share: its options, batching and the credit of an answer. */
+/** Shared by both ends of the gRPC hop between entry and sidecar: channel options, batching and flow-control credit. */
 export { Batcher } from './batcher.js';
 export { channelOptions } from './channeloptions.js';
 export { creditCost } from './creditcost.js';
--- a/src/shell/settings/fieldschemas.ts
+++ b/src/shell/settings/fieldschemas.ts
@@ -1,6 +1,6 @@
 const DEFAULT_DRAIN_MS = 30_000;
 
-/** Schemas of fields that entries and sidecars share. */
+/** Schemas of the settings fields common to entries and sidecars. */
 export const fieldSchemas = {
   name: { type: 'string', minLength: 1, description: 'a name' },
   address: {
--- a/src/shell/settings/formats.ts
+++ b/src/shell/settings/formats.ts
@@ -11,5 +11,5 @@
   return URL.canParse(text) && /^https?:$/.test(new URL(text).protocol);
 }
 
-/** Formats of text that settings know: `address` (IP number and port), `ip` and `url`. */
+/** String formats for settings schemas: `address` (IP address and port), `ip` and `url`. */
 export const formats = { address: isAddress, ip: (text: string) => isIP(text) > 0, url: isHttpUrl };
--- a/src/shell/settings/index.ts
+++ b/src/shell/settings/index.ts
@@ -1,4 +1,4 @@
-/** Reading and checking of settings files. */
+/** Reads and checks settings files. */
 export { fieldSchemas } from './fieldschemas.js';
 export { loadSettings } from './loadsettings.js';
 export type { SettingsFailure } from './settingsfailure.js';
--- a/src/shell/settings/loadsettings.ts
+++ b/src/shell/settings/loadsettings.ts
@@ -8,8 +8,8 @@
 import type { SettingsFailure } from './settingsfailure.js';
 
 /**
- * Reads a settings file (JSON with comments) and checks it against its schema. Defaults of the schema
- * are filled in; unknown fields are refused.
+ * Reads a settings file (JSON with comments) and checks it against a schema. Fills in the defaults of the schema;
+ * unknown fields are errors.
  */
 export function loadSettings<Settings>(
   file: string,
--- a/src/shell/settings/settingsfailure.ts
+++ b/src/shell/settings/settingsfailure.ts
@@ -1,6 +1,6 @@
 import type { Failure } from '../../base/index.js';
 
-/** A settings file that cannot be used, and where it is wrong. Lines and columns count from 1. */
+/** Failure of a settings file, with its position. Lines and columns count from 1. */
 export interface SettingsFailure extends Failure {
   readonly type: 'settings-unreadable' | 'settings-syntax' | 'settings-invalid';
   readonly file: string;
--- a/src/shell/store/absentstore.ts
+++ b/src/shell/store/absentstore.ts
@@ -3,12 +3,12 @@
 
 const FAILURE: StoreFailure = {
   type: 'store-unavailable',
-  detail: 'No key-value service is set up.',
+  detail: 'No key-value service is configured.',
 };
 
 const answer = () => Promise.resolve(result.Err(FAILURE));
 
-/** Stands where no key-value service is set up: every call says so. */
+/** Store driver for processes without a configured store: every call fails. */
 export const absentStore: KeyValueStore = {
   get: answer,
   list: answer,
@@ -16,8 +16,8 @@
   grantLease: answer,
   renewLease: answer,
   revokeLease: answer,
-  watch(_prefix, _fromRevision, tell) {
-    tell({ type: 'ended', failure: FAILURE });
+  watch(_prefix, _fromRevision, onEvent) {
+    onEvent({ type: 'ended', failure: FAILURE });
     return () => {};
   },
 };
--- a/src/shell/store/createstore.ts
+++ b/src/shell/store/createstore.ts
@@ -7,7 +7,7 @@
 
 const SEED_LIMIT = 2 ** 31;
 
-/** The driver for these settings; without settings, one that says that there is no store. */
+/** Creates the driver for the settings. Without settings, returns one that fails every call. */
 export function createStore(
   settings: StoreSettings | null | undefined,
   clock: Clock,
--- a/src/shell/store/etcdstore.ts
+++ b/src/shell/store/etcdstore.ts
@@ -12,7 +12,7 @@
   WatchEvent,
 } from '../../port/index.js';
 import { base64 } from './base64.js';
-import { Budget } from './budget.js';
+import { TokenBucket } from './tokenbucket.js';
 import { Gateway } from './gateway.js';
 import type { GatewayAnswers } from './gatewayanswers.js';
 import { itemOf } from './itemof.js';
@@ -21,10 +21,10 @@
 import { txnOf } from './txnof.js';
 import { watchGateway } from './watchgateway.js';
 
-/** Options of the driver. */
+/** Options of an `EtcdStore`. */
 interface EtcdStoreOptions extends StoreSettings {
   readonly clock: Clock;
-  /** Seed of the jitter between repeated reads. */
+  /** Seed of the jitter between read attempts. */
   readonly seed: number;
   /** Counts every call by its outcome. */
   readonly metrics?: Metrics;
@@ -32,29 +32,29 @@
 
 const SECOND_MS = 1000;
 const READ_ATTEMPTS = 4;
-const FIRST_PAUSE_MS = 50;
-const SPENT: StoreFailure = {
+const BASE_BACKOFF_MS = 50;
+const RATE_LIMITED: StoreFailure = {
   type: 'store-rate-limited',
-  detail: 'This process has spent its own budget of calls to the store.',
+  detail: 'This process has reached its own rate limit for store calls.',
 };
 
 /**
- * Drives the platform's key-value service over the etcd v3 JSON gateway. Reads are repeated with
- * growing, jittered pauses; a write is sent once, and its outcome may be unknown.
+ * Driver of the platform's key-value store over the etcd v3 JSON gateway. Failed reads are retried with exponential,
+ * jittered backoff. A write is sent once, and its outcome may be unknown.
  */
 export class EtcdStore implements KeyValueStore {
   private readonly gateway: Gateway;
 
-  private readonly budgets: Readonly<Record<'read' | 'write', Budget>>;
+  private readonly rateLimits: Readonly<Record<'read' | 'write', TokenBucket>>;
 
   private readonly generator;
 
   constructor(private readonly options: EtcdStoreOptions) {
     this.gateway = new Gateway(options.urls, options.timeoutMs);
     this.generator = xoroshiro128plus(options.seed);
-    this.budgets = {
-      read: new Budget(options.readsPerSecond),
-      write: new Budget(options.writesPerSecond),
+    this.rateLimits = {
+      read: new TokenBucket(options.readsPerSecond),
+      write: new TokenBucket(options.writesPerSecond),
     };
   }
 
@@ -101,24 +101,24 @@
     return answer.map(() => undefined);
   }
 
-  watch(prefix: string, fromRevision: Revision, tell: (event: WatchEvent) => void): () => void {
+  watch(prefix: string, fromRevision: Revision, onEvent: (event: WatchEvent) => void): () => void {
     const stopped = new AbortController();
-    const tellOn = (event: WatchEvent) => {
-      if (!stopped.signal.aborted) tell(event);
+    const emit = (event: WatchEvent) => {
+      if (!stopped.signal.aborted) onEvent(event);
     };
-    if (!this.budgets.read.take(this.options.clock.nowMs())) {
-      this.count('watch', SPENT.type);
-      queueMicrotask(() => tellOn({ type: 'ended', failure: SPENT }));
+    if (!this.rateLimits.read.take(this.options.clock.nowMs())) {
+      this.count('watch', RATE_LIMITED.type);
+      queueMicrotask(() => emit({ type: 'ended', failure: RATE_LIMITED }));
       return () => stopped.abort();
     }
     this.count('watch', 'opened');
-    void watchGateway(this.gateway, prefix, fromRevision, tellOn, stopped.signal).then((failure) =>
-      tellOn({ type: 'ended', failure }),
+    void watchGateway(this.gateway, prefix, fromRevision, emit, stopped.signal).then((failure) =>
+      emit({ type: 'ended', failure }),
     );
     return () => stopped.abort();
   }
 
-  /** Closes the connections; open calls fail. */
+  /** Closes all connections; pending calls fail. */
   async close(): Promise<void> {
     await this.gateway.close();
   }
@@ -128,7 +128,7 @@
       const answer = await this.send<Answer>('read', path, message);
       if (answer.ok || answer.val.type !== 'store-unavailable') return answer;
       if (attempt === READ_ATTEMPTS) return answer;
-      await this.pause(FIRST_PAUSE_MS * 2 ** attempt);
+      await this.backoff(BASE_BACKOFF_MS * 2 ** attempt);
     }
   }
 
@@ -141,9 +141,9 @@
     path: string,
     message: object,
   ): Promise<Result<Answer, StoreFailure>> {
-    const answer = this.budgets[kind].take(this.options.clock.nowMs())
+    const answer = this.rateLimits[kind].take(this.options.clock.nowMs())
       ? await this.gateway.call<Answer>(kind, path, message)
-      : result.Err(SPENT);
+      : result.Err(RATE_LIMITED);
     this.count(kind, answer.err ? answer.val.type : 'answered');
     return answer;
   }
@@ -152,11 +152,11 @@
     this.options.metrics?.count('store.calls', 1, { kind, outcome });
   }
 
-  /** Waits between half of `longestMs` and all of it. */
-  private pause(longestMs: Ms): Promise<void> {
-    const pauseMs = uniformInt(this.generator, Math.floor(longestMs / 2), longestMs);
+  /** Waits for a random time between half of `longestMs` and `longestMs`. */
+  private backoff(longestMs: Ms): Promise<void> {
+    const backoffMs = uniformInt(this.generator, Math.floor(longestMs / 2), longestMs);
     return new Promise((resolve) => {
-      this.options.clock.after(pauseMs, resolve);
+      this.options.clock.after(backoffMs, resolve);
     });
   }
 }
--- a/src/shell/store/gateway.ts
+++ b/src/shell/store/gateway.ts
@@ -8,14 +8,14 @@
 const OK = 200;
 const CONNECTIONS = 4;
 
-/** Sends single calls to the service's JSON gateway, to one URL until that cannot be reached. */
+/** Client of the store's JSON gateway. Uses one URL until it cannot be reached, then the next. */
 export class Gateway {
   private readonly calls = new Agent({ connections: CONNECTIONS });
 
-  /** Apart from the calls, since each stream holds a connection. */
+  /** Separate from `calls`, since each stream occupies a connection. */
   private readonly streams = new Agent({ bodyTimeout: 0 });
 
-  private turn = 0;
+  private urlIndex = 0;
 
   constructor(
     private readonly urls: readonly string[],
@@ -38,12 +38,12 @@
       if (response.statusCode === OK) return result.Ok(JSON.parse(body) as Answer);
       return result.Err(gatewayFailure(kind, response.statusCode, body));
     } catch (thrown) {
-      this.turn += 1;
+      this.urlIndex += 1;
       return result.Err(sendFailure(kind, thrown));
     }
   }
 
-  /** The messages of a streaming call, until the stream ends or breaks. */
+  /** Yields the messages of a streaming call until the stream ends. Throws if it breaks. */
   async *stream(path: string, message: object, signal: AbortSignal): AsyncIterable<unknown> {
     try {
       const response = await request(`${this.url()}${path}`, {
@@ -52,7 +52,7 @@
         dispatcher: this.streams,
         signal,
       });
-      if (response.statusCode !== OK) this.turn += 1;
+      if (response.statusCode !== OK) this.urlIndex += 1;
       response.body.setEncoding('utf8');
       let rest = '';
       for await (const chunk of response.body) {
@@ -61,7 +61,7 @@
         for (const line of lines) yield JSON.parse(line);
       }
     } catch (thrown) {
-      this.turn += 1;
+      this.urlIndex += 1;
       throw thrown;
     }
   }
@@ -72,6 +72,6 @@
   }
 
   private url(): string {
-    return this.urls[this.turn % this.urls.length] ?? '';
+    return this.urls[this.urlIndex % this.urls.length] ?? '';
   }
 }
--- a/src/shell/store/gatewayanswers.ts
+++ b/src/shell/store/gatewayanswers.ts
@@ -1,11 +1,11 @@
-/** One key in the gateway's JSON: bytes as base64, 64-bit numbers as text. */
+/** One key in the gateway's JSON: bytes are base64, 64-bit numbers are strings. */
 interface GatewayItem {
   readonly key: string;
   readonly value?: string;
   readonly mod_revision: string;
 }
 
-/** Answers of the etcd v3 JSON gateway, as far as the driver reads them. */
+/** Answers of the etcd v3 JSON gateway; only the fields that the driver reads. */
 export interface GatewayAnswers {
   readonly item: GatewayItem;
   readonly range: {
--- a/src/shell/store/index.ts
+++ b/src/shell/store/index.ts
@@ -1,6 +1,6 @@
-/** Drivers of the platform's key-value service. */
+/** Drivers of the platform's key-value store. */
 export { absentStore } from './absentstore.js';
-export { Budget } from './budget.js';
+export { TokenBucket } from './tokenbucket.js';
 export { createStore } from './createstore.js';
 export { EtcdStore } from './etcdstore.js';
 export { storeSchema } from './storeschema.js';
--- a/src/shell/store/itemof.ts
+++ b/src/shell/store/itemof.ts
@@ -3,7 +3,7 @@
 import { base64 } from './base64.js';
 import type { GatewayAnswers } from './gatewayanswers.js';
 
-/** Reads one key of an answer. */
+/** Decodes one key of an answer. */
 export function itemOf(item: GatewayAnswers['item']): KeyValue {
   return {
     key: base64.decode(item.key),
--- a/src/shell/store/sendfailure.ts
+++ b/src/shell/store/sendfailure.ts
@@ -1,6 +1,6 @@
 import type { StoreFailure } from '../../port/index.js';
 
-/** Errors that arise before a byte of the call has left. */
+/** Errors that occur before any byte of the call is sent. */
 const NOT_SENT = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
@@ -8,10 +8,10 @@
   'UND_ERR_CONNECT_TIMEOUT',
 ]);
 
-/** The failure that a broken call stands for. */
+/** Converts an error thrown by a call to a typed failure. */
 export function sendFailure(kind: 'read' | 'write', thrown: unknown): StoreFailure {
   const { code = '', message = String(thrown) } = thrown as { code?: string; message?: string };
-  const detail = `${code || 'call broken'}: ${message}`;
+  const detail = `${code || 'call failed'}: ${message}`;
   if (kind === 'read' || NOT_SENT.has(code)) return { type: 'store-unavailable', detail };
   return { type: 'store-outcome-unknown', detail };
 }
--- a/src/shell/store/storesettings.ts
+++ b/src/shell/store/storesettings.ts
@@ -1,11 +1,11 @@
-/** Where the platform's key-value service is, and how much of its rate this process may use. */
+/** Address of the platform's key-value store, and the rate limits of this process. */
 export interface StoreSettings {
-  /** Base URLs of the service; the next is tried when one cannot be reached. */
+  /** Base URLs of the store; the next one is used when one cannot be reached. */
   readonly urls: string[];
-  /** Reads, and opened watches, that this process may send in a second. */
+  /** Reads and watch starts that this process may send per second. */
   readonly readsPerSecond: number;
-  /** Writes that this process may send in a second. */
+  /** Writes that this process may send per second. */
   readonly writesPerSecond: number;
-  /** Longest wait for one answer. */
+  /** Timeout of one call. */
   readonly timeoutMs: number;
 }
--- a/src/shell/store/budget.ts
+++ b/src/shell/store/tokenbucket.ts
@@ -2,23 +2,23 @@
 
 const SECOND_MS = 1000;
 
-/** A token bucket that holds one second's worth of calls, and at least one. */
-export class Budget {
+/** Token bucket whose capacity is the calls of one second, but at least one. */
+export class TokenBucket {
   private tokens: number;
 
   private readonly capacity: number;
 
-  private filledAtMs: Ms | undefined;
+  private refilledAtMs: Ms | undefined;
 
   constructor(private readonly perSecond: number) {
     this.capacity = Math.max(1, perSecond);
     this.tokens = this.capacity;
   }
 
-  /** Takes one call from the budget; false when it is spent. */
+  /** Takes one token. Returns false if there is none. */
   take(nowMs: Ms): boolean {
-    const passedMs = nowMs - (this.filledAtMs ?? nowMs);
-    this.filledAtMs = nowMs;
+    const passedMs = nowMs - (this.refilledAtMs ?? nowMs);
+    this.refilledAtMs = nowMs;
     this.tokens = Math.min(this.capacity, this.tokens + (passedMs * this.perSecond) / SECOND_MS);
     if (this.tokens < 1) return false;
     this.tokens -= 1;
--- a/src/shell/store/txnof.ts
+++ b/src/shell/store/txnof.ts
@@ -8,7 +8,7 @@
   return { request_put: swap.leaseId ? { ...put, lease: swap.leaseId } : put };
 }
 
-/** A compare-and-swap as a transaction that reads the key where the comparison fails. */
+/** Converts a compare-and-swap to an etcd transaction, which reads the key if the comparison fails. */
 export function txnOf(swap: Swap): object {
   const key = base64.encode(swap.key);
   const compare = {
--- a/src/shell/store/watchgateway.ts
+++ b/src/shell/store/watchgateway.ts
@@ -7,22 +7,22 @@
 import { rangeEnd } from './rangeend.js';
 import { sendFailure } from './sendfailure.js';
 
-type Told = NonNullable<NonNullable<GatewayAnswers['watch']['result']>['events']>[number];
+type GatewayEvent = NonNullable<NonNullable<GatewayAnswers['watch']['result']>['events']>[number];
 
 const ENDED: StoreFailure = { type: 'store-unavailable', detail: 'The watch ended.' };
 
-function eventOf({ type, kv }: Told): WatchEvent {
+function eventOf({ type, kv }: GatewayEvent): WatchEvent {
   const item = itemOf(kv);
   if (type === 'DELETE') return { type: 'deleted', key: item.key, revision: item.revision };
   return { type: 'put', item };
 }
 
-/** Runs one watch over the gateway until it ends, and gives the reason. */
+/** Runs one watch over the gateway. Resolves with the reason when the watch ends. */
 export async function watchGateway(
   gateway: Gateway,
   prefix: string,
   fromRevision: Revision,
-  tell: (event: WatchEvent) => void,
+  onEvent: (event: WatchEvent) => void,
   signal: AbortSignal,
 ): Promise<StoreFailure> {
   const create = {
@@ -33,12 +33,13 @@
   try {
     const messages = gateway.stream('/v3/watch', { create_request: create }, signal);
     for await (const message of messages) {
-      const told = (message as GatewayAnswers['watch']).result;
-      if (told?.canceled) {
-        const type = Number(told.compact_revision) > 0 ? 'store-compacted' : 'store-unavailable';
+      const watchResult = (message as GatewayAnswers['watch']).result;
+      if (watchResult?.canceled) {
+        const type =
+          Number(watchResult.compact_revision) > 0 ? 'store-compacted' : 'store-unavailable';
         return { type, detail: 'The store ended the watch.' };
       }
-      for (const event of told?.events ?? []) tell(eventOf(event));
+      for (const event of watchResult?.events ?? []) onEvent(eventOf(event));
     }
     return ENDED;
   } catch (thrown) {
--- a/src/shell/tls/callerserver.ts
+++ b/src/shell/tls/callerserver.ts
@@ -11,8 +11,8 @@
 }
 
 /**
- * The server of the callers' listener: HTTP, or HTTPS if the settings name keys. With `caFile`, only
- * callers with a certificate of that authority are let in. New connections use reloaded keys.
+ * Creates the server for callers: HTTPS if there are key settings, otherwise HTTP. With `caFile`, only callers with a
+ * certificate of that authority are accepted. New connections use reloaded keys.
  */
 export function callerServer(
   settings: KeySettings | null | undefined,
@@ -23,14 +23,14 @@
   const opened = KeyFiles.open(settings, log);
   if (opened.err) throw new FailureError(opened.val);
   const files = opened.val;
-  const needsClient = Boolean(settings.caFile);
+  const requiresClientCertificate = Boolean(settings.caFile);
   const server = createSecureServer({
     ...options,
     ...contextOf(files.current()),
-    requestCert: needsClient,
-    rejectUnauthorized: needsClient,
+    requestCert: requiresClientCertificate,
+    rejectUnauthorized: requiresClientCertificate,
   });
-  files.follow((material) => server.setSecureContext(contextOf(material)));
+  files.subscribe((material) => server.setSecureContext(contextOf(material)));
   server.on('close', () => files.close());
   return server;
 }
--- a/src/shell/tls/index.ts
+++ b/src/shell/tls/index.ts
@@ -1,4 +1,4 @@
-/** TLS for callers, and mutual TLS between the system's own processes. */
+/** TLS for callers, and mutual TLS between the system's processes. */
 export { callerServer } from './callerserver.js';
 export type { PeerCredentials } from './credentials.js';
 export { keySchema } from './keyschema.js';
--- a/src/shell/tls/keyfiles.ts
+++ b/src/shell/tls/keyfiles.ts
@@ -7,9 +7,9 @@
 import type { KeySettings } from './keysettings.js';
 import { readKeys } from './readkeys.js';
 
-type Tell = (material: KeyMaterial) => void;
+type Listener = (material: KeyMaterial) => void;
 
-/** Tells whether any of the files has changed: their times of change, or why one cannot be read. */
+/** Returns a text that changes when any of the files is changed, replaced or removed. */
 function stampOf(settings: KeySettings): string {
   const files = [settings.certificateFile, settings.keyFile, settings.caFile ?? ''];
   const stats = files.map((file) => statSync(file, { throwIfNoEntry: false }));
@@ -17,11 +17,11 @@
 }
 
 /**
- * A certificate and key that may be replaced while the process runs. Files that cannot be used, for
- * example while they are being replaced, leave the last good ones in force.
+ * Certificate and key files that may be replaced while the process runs. If they cannot be used, for example while they
+ * are being replaced, the last valid ones stay in use.
  */
 export class KeyFiles implements experimental.CertificateProvider {
-  private readonly listeners = new Map<unknown, Tell>();
+  private readonly listeners = new Map<unknown, Listener>();
 
   private readonly timer: NodeJS.Timeout;
 
@@ -37,7 +37,7 @@
     this.timer.unref();
   }
 
-  /** Reads the files and watches them until `close`. */
+  /** Reads the files and checks them for changes until `close`. */
   static open(settings: KeySettings, log: Log): Result<KeyFiles, Failure> {
     const read = readKeys(settings);
     if (read.err) return read;
@@ -48,9 +48,9 @@
     return this.material;
   }
 
-  /** Calls `tell` with the keys now, and with each later pair. */
-  follow(tell: Tell): void {
-    this.listen(tell, tell);
+  /** Calls `listener` with the current keys and after each reload. */
+  subscribe(listener: Listener): void {
+    this.listen(listener, listener);
   }
 
   addCaCertificateListener(listener: experimental.CaCertificateUpdateListener): void {
@@ -73,7 +73,7 @@
     this.listeners.delete(listener);
   }
 
-  /** Reads the files again if they have changed. */
+  /** Reloads the files if they have changed. */
   reload(): void {
     const stamp = stampOf(this.settings);
     if (stamp === this.stamp) return;
@@ -85,7 +85,7 @@
     this.stamp = stamp;
     this.material = read.val;
     this.log.info('keys reloaded', { certificateFile: this.settings.certificateFile });
-    for (const tell of this.listeners.values()) tell(read.val);
+    for (const listener of this.listeners.values()) listener(read.val);
   }
 
   close(): void {
@@ -93,9 +93,9 @@
     this.listeners.clear();
   }
 
-  private listen(listener: unknown, tell: Tell): void {
-    this.listeners.set(listener, tell);
-    // Not at once: the gRPC library is not ready to hear of it before it has returned.
-    queueMicrotask(() => this.listeners.get(listener)?.(this.material));
+  private listen(key: unknown, listener: Listener): void {
+    this.listeners.set(key, listener);
+    // Deferred: grpc-js cannot handle the call before its own registration has returned.
+    queueMicrotask(() => this.listeners.get(key)?.(this.material));
   }
 }
--- a/src/shell/tls/keymaterial.ts
+++ b/src/shell/tls/keymaterial.ts
@@ -1,4 +1,4 @@
-/** Contents of the key files, as read together. */
+/** Contents of the key files, all read at the same time. */
 export interface KeyMaterial {
   readonly certificate: Buffer;
   readonly privateKey: Buffer;
--- a/src/shell/tls/keyschema.ts
+++ b/src/shell/tls/keyschema.ts
@@ -2,7 +2,7 @@
 
 const FILE = { type: 'string', minLength: 1 } as const;
 
-/** Schema of the callers' listener's `tls`; null or absent means plain HTTP. */
+/** Schema of the `tls` field of the listener for callers; if null or absent, it serves plain HTTP. */
 export const keySchema = {
   type: 'object',
   nullable: true,
--- a/src/shell/tls/keysettings.ts
+++ b/src/shell/tls/keysettings.ts
@@ -1,9 +1,9 @@
-/** Files of a process's own certificate and key, in PEM, and of those that it trusts. */
+/** PEM files of a process's certificate and key, and of the authorities that it trusts. */
 export interface KeySettings {
   readonly certificateFile: string;
   readonly keyFile: string;
-  /** Certificates of the authorities whose clients (or servers) are trusted. */
+  /** Certificates of the trusted authorities. */
   readonly caFile?: string | null;
-  /** How often the files are looked at for a change. */
+  /** Interval of the check for changed files. */
   readonly reloadMs: number;
 }
--- a/src/shell/tls/peercredentials.ts
+++ b/src/shell/tls/peercredentials.ts
@@ -2,9 +2,9 @@
 import type { PeerCertificate } from 'node:tls';
 import { FailureError } from '../../base/index.js';
 import type { Log } from '../../port/index.js';
-import { checkName } from './checkname.js';
+import { commonNameInterceptor } from './commonnameinterceptor.js';
 import { KeyFiles } from './keyfiles.js';
-import { nameOf } from './nameof.js';
+import { commonNameOf } from './commonnameof.js';
 import type { PeerCredentials } from './credentials.js';
 import type { PeerSettings } from './peersettings.js';
 
@@ -14,17 +14,17 @@
   close() {},
 };
 
-/** A server is known by its common name: hosts come and go, so its address proves nothing. */
+/** Identifies a server by its common name. Hosts are replaced often, so an address proves nothing. */
 function serverCheck(allowedNames: readonly string[]) {
   return (_host: string, certificate: PeerCertificate): Error | undefined => {
-    const name = nameOf(certificate);
+    const name = commonNameOf(certificate);
     if (allowedNames.includes(name)) return undefined;
     const detail = `The certificate's common name ${name || '(none)'} is not in allowedNames.`;
     return new FailureError({ type: 'peer-unknown', detail });
   };
 }
 
-/** Mutual TLS if the settings ask for it, with keys reloaded while the process runs. */
+/** Creates credentials for mutual TLS with keys that are reloaded at run time; insecure ones without settings. */
 export function peerCredentials(
   settings: PeerSettings | null | undefined,
   log: Log,
@@ -35,7 +35,7 @@
   const files = opened.val;
   const server = experimental.createServerCredentialsWithInterceptors(
     experimental.createCertificateProviderServerCredentials(files, files, true),
-    [checkName(settings.allowedNames)],
+    [commonNameInterceptor(settings.allowedNames)],
   );
   const channel = experimental.createCertificateProviderChannelCredentials(files, files, {
     checkServerIdentity: serverCheck(settings.allowedNames),
--- a/src/shell/tls/peerschema.ts
+++ b/src/shell/tls/peerschema.ts
@@ -2,7 +2,7 @@
 
 const { certificateFile, keyFile, reloadMs } = keySchema.properties;
 
-/** Schema of `peerTls`; null or absent means that peers are not authenticated. */
+/** Schema of the `peerTls` field; if null or absent, peers are not authenticated. */
 export const peerSchema = {
   type: 'object',
   nullable: true,
--- a/src/shell/tls/peersettings.ts
+++ b/src/shell/tls/peersettings.ts
@@ -1,8 +1,8 @@
 import type { KeySettings } from './keysettings.js';
 
-/** Mutual TLS between the system's own processes. */
+/** Settings of mutual TLS between the system's processes. */
 export interface PeerSettings extends KeySettings {
   readonly caFile: string;
-  /** Common names that a peer's certificate may carry, whichever end opened the connection. */
+  /** Common names accepted in a peer's certificate, whichever end opened the connection. */
   readonly allowedNames: string[];
 }
--- a/src/shell/tls/readkeys.ts
+++ b/src/shell/tls/readkeys.ts
@@ -5,7 +5,7 @@
 import type { KeyMaterial } from './keymaterial.js';
 import type { KeySettings } from './keysettings.js';
 
-/** Reads the key files and checks that they fit each other. */
+/** Reads the key files and checks that they match. */
 export function readKeys(settings: KeySettings): Result<KeyMaterial, Failure> {
   try {
     const certificate = readFileSync(settings.certificateFile);
