--- a/src/core/document/canpack.ts
+++ b/src/core/document/canpack.ts
@@ -27,9 +27,9 @@
 ): boolean {
   const remaining = [...capacities];
   for (const sizeBytes of sizes) {
-    const bin = choose(remaining, sizeBytes);
-    if (bin < 0) return false;
-    remaining[bin] = (remaining[bin] ?? 0) - sizeBytes;
+    const place = choose(remaining, sizeBytes);
+    if (place < 0) return false;
+    remaining[place] = (remaining[place] ?? 0) - sizeBytes;
   }
   return true;
 }
