--- a/bench/accesscost.ts
+++ b/bench/accesscost.ts
@@ -31,33 +31,33 @@
   return { routesByHost: new Map([[HOST, [route]]]), access } as unknown as RouteTable;
 }
 
-function timed(act: () => void): number {
-  const fromMs = performance.now();
+function elapsedMs(act: () => void): number {
+  const startMs = performance.now();
   act();
-  return performance.now() - fromMs;
+  return performance.now() - startMs;
 }
 
-/** Time to index the keys of a configuration, in ms. */
+/** Returns the time to index the keys of a configuration, in milliseconds. */
 function indexMs(keys: number): number {
   accessOf(keys);
-  return Math.round(timed(() => accessOf(keys)) * 10) / 10;
+  return Math.round(elapsedMs(() => accessOf(keys)) * 10) / 10;
 }
 
-/** Time of one request's way through key and quota, paid from what lies at the entry, in us. */
+/** Returns the time of one request's key and quota checks in microseconds, with the quota already at the entry. */
 function requestUs(keys: number): number {
   const table = tableOf(accessOf(keys));
   const clock = new VirtualClock();
   const entry = 'entry-1' as HostId;
   const draw = () => Promise.resolve(undefined);
-  const desk = new QuotaClient({ entry, clock, terms: TERMS, parts: () => 1, draw });
-  for (const id of table.access?.customers.keys() ?? []) desk.refund(id, Number.MAX_SAFE_INTEGER);
+  const client = new QuotaClient({ entry, clock, terms: TERMS, parts: () => 1, draw });
+  for (const id of table.access?.customers.keys() ?? []) client.refund(id, Number.MAX_SAFE_INTEGER);
   const authorization = keys === 0 ? undefined : 'Bearer key-1';
-  const ms = timed(() => {
+  const ms = elapsedMs(() => {
     for (let at = 0; at < REQUESTS; at += 1) {
       const keyHash = bearerHash(authorization);
-      const said = decideAccess(table, { host: HOST, path: '/r/1', keyHash });
-      if (said.type !== 'allowed') continue;
-      const charge = new Charge(desk, clock, said.customer, COST);
+      const decision = decideAccess(table, { host: HOST, path: '/r/1', keyHash });
+      if (decision.type !== 'allowed') continue;
+      const charge = new Charge(client, clock, decision.customer, COST);
       void charge.pay(0);
       charge.settle(1);
     }
@@ -65,7 +65,7 @@
   return Math.round(((ms * US_PER_MS) / REQUESTS) * 100) / 100;
 }
 
-/** What keys and quotas cost: the index of a configuration's keys, and each request. */
+/** Measures the cost of keys and quotas: indexing the keys of a configuration, and the checks of each request. */
 export const accessCost: Bench = () =>
   Promise.resolve({
     indexMs: {
--- a/bench/bench.ts
+++ b/bench/bench.ts
@@ -1,2 +1,2 @@
-/** A benchmark: takes what follows its name on the command line, gives a result to print as JSON. */
+/** A benchmark: receives the command-line arguments after its name and returns a result, printed as JSON. */
 export type Bench = (args: readonly string[]) => Promise<object>;
--- a/bench/configcost.ts
+++ b/bench/configcost.ts
@@ -8,32 +8,32 @@
 import type { Bench } from './bench.js';
 
 const EXAMPLE = join(import.meta.dirname, '../../examples/reenvio-norte/redactor.jsonc');
-/** How often the example at today's size is repeated: 40 to 1,200 models in one document. */
+/** Copies of the example's content in one document, which give 40 to 1,200 models. */
 const COPIES = [1, 3, 10, 30];
 const CHANGES = 20;
 const INDENT = 2;
 const PORT = 7400;
 
-/** One size of document, and what it costs. Times are medians of one core. */
+/** Cost of a document of one size. Times are medians on one CPU core. */
 interface Cost {
   readonly models: number;
   readonly adapters: number;
   readonly upstreams: number;
   readonly documentBytes: number;
-  /** The store's value after 20 small changes. */
+  /** Size of the stored value after 20 small changes. */
   readonly valueBytes: number;
   readonly checkMs: number;
-  /** Reading a document that is already in force. */
+  /** Time to read a document that is already in force. */
   readonly readMs: number;
-  /** One accepted change: check, difference, hashes; without the store's own time. */
+  /** Time of one accepted change: check, diff and hashes, without the time of the store. */
   readonly changeMs: number;
   readonly storeReadsPerChange: number;
   readonly storeWritesPerChange: number;
 }
 
-function copied(document: ServiceDocument, copies: number): ServiceDocument {
-  const each = Array.from({ length: copies }, (_, copy) => copy);
-  const groups = each.flatMap((copy) =>
+function enlarge(document: ServiceDocument, copies: number): ServiceDocument {
+  const copyNumbers = Array.from({ length: copies }, (_, copy) => copy);
+  const groups = copyNumbers.flatMap((copy) =>
     document.groups.map((group, place) => ({
       ...group,
       name: `${group.name}-${copy}`,
@@ -45,10 +45,10 @@
   );
   return {
     ...document,
-    models: each.flatMap((copy) =>
+    models: copyNumbers.flatMap((copy) =>
       document.models.map((model) => ({ ...model, id: `${model.id}-${copy}` as typeof model.id })),
     ),
-    adapters: each.flatMap((copy) =>
+    adapters: copyNumbers.flatMap((copy) =>
       document.adapters.map((adapter) => ({
         ...adapter,
         id: `${adapter.id}-${copy}` as typeof adapter.id,
@@ -59,15 +59,15 @@
   };
 }
 
-async function medianMs(times: number, act: () => unknown): Promise<number> {
+async function medianMs(runCount: number, act: () => unknown): Promise<number> {
   const tookMs: number[] = [];
-  for (let time = 0; time < times; time += 1) {
-    const fromMs = performance.now();
+  for (let run = 0; run < runCount; run += 1) {
+    const startMs = performance.now();
     await act();
-    tookMs.push(performance.now() - fromMs);
+    tookMs.push(performance.now() - startMs);
   }
   tookMs.sort((a, b) => a - b);
-  return Number((tookMs[Math.floor(times / 2)] ?? 0).toFixed(2));
+  return Number((tookMs[Math.floor(runCount / 2)] ?? 0).toFixed(2));
 }
 
 async function cost(document: ServiceDocument): Promise<Cost> {
@@ -112,10 +112,10 @@
   };
 }
 
-/** What documents cost by their size: bytes, time to check, to read and to change. */
+/** Measures documents of several sizes: bytes, and time to check, read and change them. */
 export const configCost: Bench = async () => {
   const document = readDocument(readFileSync(EXAMPLE, 'utf8')).unwrap();
   const costs: Cost[] = [];
-  for (const copies of COPIES) costs.push(await cost(copied(document, copies)));
+  for (const copies of COPIES) costs.push(await cost(enlarge(document, copies)));
   return { costs };
 };
--- a/bench/configfaults.ts
+++ b/bench/configfaults.ts
@@ -5,18 +5,18 @@
 
 const DEFAULT_RACES = 1000;
 
-/** The property of test/acceptance.test.ts over many races. Arguments: number of races, seed. */
+/** Checks the property of test/acceptance.test.ts over many generated races. Arguments: number of races, seed. */
 export const configFaults: Bench = async ([count = String(DEFAULT_RACES), seed = '1']) => {
-  const told: Record<string, number> = {};
+  const counts: Record<string, number> = {};
   let attempts = 0;
   const violations: string[] = [];
   for (const options of fc.sample(races, { numRuns: Number(count), seed: Number(seed) })) {
     const report = await race(options);
     violations.push(...report.violations);
     for (const [type, times] of Object.entries(report.told)) {
-      told[type] = (told[type] ?? 0) + times;
+      counts[type] = (counts[type] ?? 0) + times;
       attempts += times;
     }
   }
-  return { races: Number(count), attempts, told, violations };
+  return { races: Number(count), attempts, told: counts, violations };
 };
--- a/bench/configrace.ts
+++ b/bench/configrace.ts
@@ -5,9 +5,9 @@
 const LATE_WRITE_MS = 200;
 
 /**
- * Two operators, 200 racing changes, answers lost at one in five. Of the writes that lose theirs,
- * half take effect, a quarter never do, and a quarter do so later. Arguments: the seed, 1 by default, and
- * `gateway` to go by the driver over HTTP in real time.
+ * Runs 200 concurrent changes by two operators. One in five answers of the store is lost. Of the writes whose answer
+ * is lost, half take effect, a quarter take effect later, and a quarter never do. Arguments: the seed, 1 by
+ * default, and `gateway` to use the etcd driver over HTTP in real time.
  */
 export const configRace: Bench = ([seed = '1', via = 'memory']) =>
   race({
--- a/bench/configrace/truth.ts
+++ b/bench/configrace/acceptedchanges.ts
@@ -3,16 +3,16 @@
 import type { AuditEntry } from '../../src/core/audit/index.js';
 import type { StoreModel } from '../../standin/index.js';
 
-/** One change as the store took it. */
-export interface Taken {
+/** A change accepted by the store. */
+export interface AcceptedChange {
   readonly revision: Revision;
   readonly entry: AuditEntry;
   readonly stored: StoredService;
 }
 
-/** All changes in the order in which the store took them, from its own history. */
-export function truth(model: StoreModel): readonly Taken[] {
-  const taken: Taken[] = [];
+/** Returns all accepted changes in order, read from the store's history. */
+export function acceptedChanges(model: StoreModel): readonly AcceptedChange[] {
+  const taken: AcceptedChange[] = [];
   for (const { item, revision } of model.eventsAfter('', 0 as Revision) ?? []) {
     const stored = item ? decodeStored(item.value).unwrap() : undefined;
     const entry = stored?.audit.at(-1);
--- a/bench/configrace/attempt.ts
+++ b/bench/configrace/attempt.ts
@@ -1,11 +1,11 @@
 import type { ChangeId, Revision } from '../../src/base/index.js';
 import type { AcceptanceFailure } from '../../src/core/acceptance/index.js';
 
-/** What an operator asked for, and what it was told. */
+/** A change requested by an operator, and the outcome reported to it. */
 export interface Attempt {
   readonly changeId: ChangeId;
   readonly expectedRevision: Revision;
-  readonly told: 'accepted' | AcceptanceFailure['type'];
-  /** Revision that it was told, if accepted. */
+  readonly outcome: 'accepted' | AcceptanceFailure['type'];
+  /** Revision reported to the operator if the change was accepted. */
   readonly revision?: Revision;
 }
--- a/bench/configrace/findviolations.ts
+++ b/bench/configrace/findviolations.ts
@@ -1,28 +1,33 @@
 import { verifyChain } from '../../src/core/audit/index.js';
 import { sha256 } from '../../src/shell/acceptance/index.js';
 import type { Attempt } from './attempt.js';
-import type { Taken } from './truth.js';
+import type { AcceptedChange } from './acceptedchanges.js';
 
-function falseWords(attempts: readonly Attempt[], taken: readonly Taken[]): readonly string[] {
+function outcomeViolations(
+  attempts: readonly Attempt[],
+  taken: readonly AcceptedChange[],
+): readonly string[] {
   const violations: string[] = [];
-  for (const { changeId, told, revision, expectedRevision } of attempts) {
+  for (const { changeId, outcome, revision, expectedRevision } of attempts) {
     const own = taken.filter(({ entry }) => entry.changeId === changeId);
     const [first] = own;
-    if (own.length > 1) violations.push(`${changeId}: taken ${own.length} times`);
-    if (told === 'accepted' && first?.revision !== revision) {
-      violations.push(`${changeId}: told accepted at ${revision}, taken at ${first?.revision}`);
+    if (own.length > 1) violations.push(`${changeId}: stored ${own.length} times`);
+    if (outcome === 'accepted' && first?.revision !== revision) {
+      violations.push(
+        `${changeId}: reported as accepted at ${revision}, stored at ${first?.revision}`,
+      );
     }
-    if (told !== 'accepted' && told !== 'outcome-unknown' && first) {
-      violations.push(`${changeId}: told ${told}, taken at ${first.revision}`);
+    if (outcome !== 'accepted' && outcome !== 'outcome-unknown' && first) {
+      violations.push(`${changeId}: reported as ${outcome}, stored at ${first.revision}`);
     }
     if (first && first.entry.basedOnRevision !== expectedRevision) {
-      violations.push(`${changeId}: took the place of a change that its operator had not seen`);
+      violations.push(`${changeId}: overwrote a change that its operator had not seen`);
     }
   }
   return violations;
 }
 
-function brokenChain(taken: readonly Taken[]): readonly string[] {
+function chainViolations(taken: readonly AcceptedChange[]): readonly string[] {
   const violations: string[] = [];
   for (const [index, { entry, revision, stored }] of taken.entries()) {
     const verified = verifyChain(stored.audit, stored.document, sha256);
@@ -33,15 +38,15 @@
     }
   }
   const entries = taken.map(({ entry }) => entry);
-  const whole = verifyChain(entries, taken.at(-1)?.stored.document ?? '', sha256);
-  if (whole.err && taken.length > 0) violations.push(whole.val.detail);
+  const wholeChain = verifyChain(entries, taken.at(-1)?.stored.document ?? '', sha256);
+  if (wholeChain.err && taken.length > 0) violations.push(wholeChain.val.detail);
   return violations;
 }
 
-/** Compares what operators were told with what the store took: every difference is a violation. */
+/** Compares the outcomes reported to operators with the changes in the store; every difference is a violation. */
 export function findViolations(
   attempts: readonly Attempt[],
-  taken: readonly Taken[],
+  taken: readonly AcceptedChange[],
 ): readonly string[] {
-  return [...falseWords(attempts, taken), ...brokenChain(taken)];
+  return [...outcomeViolations(attempts, taken), ...chainViolations(taken)];
 }
--- a/bench/configrace/raceoptions.ts
+++ b/bench/configrace/raceoptions.ts
@@ -1,17 +1,17 @@
 import type { AcceptanceContext } from '../../src/shell/acceptance/index.js';
 import type { StoreFaults } from '../../standin/index.js';
 
-/** A race between operators who change one service's document. */
+/** A race between operators who change the document of one service concurrently. */
 export interface RaceOptions {
   readonly seed: number;
   readonly operators: number;
-  /** Changes of all operators together. */
+  /** Total number of changes over all operators. */
   readonly changes: number;
   readonly faults: StoreFaults;
-  /** `memory` (the default): in virtual time; `gateway`: by the driver over HTTP, in real time. */
+  /** `memory` (the default): direct calls in virtual time; `gateway`: the etcd driver over HTTP in real time. */
   readonly via?: 'memory' | 'gateway';
-  /** Entries that the stored value keeps. */
+  /** Maximum number of audit entries kept in the stored value. */
   readonly auditLimit?: number;
-  /** Another core, with a guard turned off. */
+  /** Replaces the acceptance core by one with a guard disabled. */
   readonly step?: AcceptanceContext['step'];
 }
--- a/bench/configrace/races.ts
+++ b/bench/configrace/races.ts
@@ -3,7 +3,7 @@
 
 const share = fc.integer({ min: 0, max: 30 }).map((percent) => percent / 100);
 
-/** Races with every fault of the store, alone and together. */
+/** Generates races with any combination of store faults. */
 export const races: fc.Arbitrary<RaceOptions> = fc.record({
   seed: fc.integer({ min: 1, max: 1_000_000 }),
   operators: fc.integer({ min: 2, max: 6 }),
--- a/bench/configrace/racestore.ts
+++ b/bench/configrace/racestore.ts
@@ -7,14 +7,14 @@
 const TIMEOUT_MS = 2000;
 const STEP_MS = 5;
 
-/** The store of a race, and how its time passes. */
+/** The store of a race and the clock that it runs on. */
 interface RaceStore {
-  /** What the operators call. */
+  /** The store that operators call. */
   readonly store: KeyValueStore;
-  /** The stand-in behind it, which knows what was taken. */
-  readonly behind: MemoryStore;
+  /** The stand-in that holds the data, including the history of accepted writes. */
+  readonly memoryStore: MemoryStore;
   readonly clock: Clock;
-  /** Lets time pass until the work is done. */
+  /** Advances time until the work is done. */
   readonly run: (work: Promise<unknown>) => Promise<void>;
   readonly close: () => Promise<void>;
 }
@@ -38,28 +38,28 @@
   await ended;
 }
 
-function standIn(faults: StoreFaults, clock: Clock): MemoryStore {
+function createStore(faults: StoreFaults, clock: Clock): MemoryStore {
   const rates = { readsPerSecond: UNLIMITED, writesPerSecond: UNLIMITED };
   return new MemoryStore({ clock, faults, ...rates });
 }
 
-/** Stores for races: called directly in virtual time, or by the driver over HTTP in real time. */
+/** Creates stores for races: called directly in virtual time, or through the etcd driver over HTTP in real time. */
 export const raceStores = {
   memory(faults: StoreFaults): Promise<RaceStore> {
     const clock = new VirtualClock();
-    const behind = standIn(faults, clock);
+    const memoryStore = createStore(faults, clock);
     const run = (work: Promise<unknown>) => advanceUntil(work, clock);
     return Promise.resolve({
-      store: behind,
-      behind,
+      store: memoryStore,
+      memoryStore,
       clock,
       run,
       close: () => Promise.resolve(),
     });
   },
   async gateway(faults: StoreFaults): Promise<RaceStore> {
-    const behind = standIn(faults, systemClock);
-    const server = new StoreServer(behind);
+    const memoryStore = createStore(faults, systemClock);
+    const server = new StoreServer(memoryStore);
     const store = new EtcdStore({
       urls: [await server.listen()],
       readsPerSecond: UNLIMITED,
@@ -75,6 +75,6 @@
       await store.close();
       await server.close();
     };
-    return { store, behind, clock: systemClock, run, close };
+    return { store, memoryStore, clock: systemClock, run, close };
   },
 };
--- a/bench/configrace/operator.ts
+++ b/bench/configrace/runoperator.ts
@@ -15,42 +15,46 @@
 const SERVICE = 'padron' as ServiceId;
 const REGION = 'cantabrico';
 const KEY = serviceKey.of({ region: REGION, service: SERVICE });
-const LONGEST_THOUGHT_MS = 40;
+const MAX_THINK_MS = 40;
 
-/** Where an operator works, and where it notes what it was told. */
-interface Desk {
+interface OperatorContext {
   readonly name: string;
   readonly store: KeyValueStore;
   readonly clock: Clock;
+  /** Receives the outcome of each change. */
   readonly attempts: Attempt[];
-  /** Text of the document that the race starts from. */
+  /** Text of the initial document. */
   readonly firstText: string;
 }
 
-/** The document with one number changed, so that each change can be told apart. */
+/** Returns the document with `movePenalty` set to the number of the change, so that no two changes are equal. */
 function edit(text: string, change: number): string {
   const document = JSON.parse(text) as { placement: object };
   const placement = { ...document.placement, movePenalty: change };
   return JSON.stringify({ ...document, placement }, null, 2);
 }
 
-/** One operator: looks, thinks, changes, and takes its next change from what it then sees. */
-export async function operate(desk: Desk, options: RaceOptions, index: number): Promise<void> {
-  const { name, store, clock, attempts, firstText } = desk;
+/** Simulates one operator, who repeatedly reads the document, waits a random time and submits a change of it. */
+export async function runOperator(
+  context: OperatorContext,
+  options: RaceOptions,
+  index: number,
+): Promise<void> {
+  const { name, store, clock, attempts, firstText } = context;
   const generator = xoroshiro128plus(options.seed * options.operators + index);
-  const pause = (longestMs: number) =>
+  const pause = (maxMs: number) =>
     new Promise<void>((resolve) => {
-      clock.after(uniformInt(generator, 1, longestMs), resolve);
+      clock.after(uniformInt(generator, 1, maxMs), resolve);
     });
   for (let change = index; change < options.changes; change += options.operators) {
-    let seen = await store.get(KEY);
-    while (seen.err) {
-      await pause(LONGEST_THOUGHT_MS);
-      seen = await store.get(KEY);
+    let found = await store.get(KEY);
+    while (found.err) {
+      await pause(MAX_THINK_MS);
+      found = await store.get(KEY);
     }
-    const item = seen.val;
+    const item = found.val;
     const stored = item ? decodeStored(item.value).unwrap() : undefined;
-    await pause(LONGEST_THOUGHT_MS);
+    await pause(MAX_THINK_MS);
     const wanted: Change = {
       service: SERVICE,
       region: REGION,
@@ -61,18 +65,23 @@
       cause: `change ${change}`,
       atMs: clock.wallMs(),
     };
-    const start = createAcceptance(wanted, sha256, options.auditLimit);
-    const outcome = await acceptChange(start, { store, clock, log: () => {}, step: options.step });
+    const acceptance = createAcceptance(wanted, sha256, options.auditLimit);
+    const outcome = await acceptChange(acceptance, {
+      store,
+      clock,
+      log: () => {},
+      step: options.step,
+    });
     const { changeId, expectedRevision } = wanted;
     if (outcome.ok) {
       attempts.push({
         changeId,
         expectedRevision,
-        told: 'accepted',
+        outcome: 'accepted',
         revision: outcome.val.revision,
       });
     } else {
-      attempts.push({ changeId, expectedRevision, told: outcome.val.type });
+      attempts.push({ changeId, expectedRevision, outcome: outcome.val.type });
     }
   }
 }
--- a/bench/killrounds.ts
+++ b/bench/killrounds.ts
@@ -10,47 +10,48 @@
 const ROUND_MS = 2400;
 const REQUESTS_PER_ROUND = 120;
 const SERVICE_MS = 100;
-const BLOW_AT_MS = 600;
+const FAULT_AT_MS = 600;
 const DOWN_MS = 300;
 const PAUSE_MS = 900;
-/** Longer than a confirmation's deadline. */
+/** Longer than the deadline of a confirmation. */
 const FREEZE_MS = 4600;
 const SEED = 41;
 
-/** Kills a sidecar and starts it anew. */
+/** Kills a sidecar and restarts it. */
 async function kill(stack: Stack, upstream: string): Promise<void> {
   await stack.crashSidecar(upstream, DOWN_MS);
 }
 
-/** Stops a sidecar for a while and lets it go on, as a paused host would. */
+/** Suspends a sidecar's process for `forMs`, like the suspension of its host. */
 async function pause(stack: Stack, upstream: string, forMs: number): Promise<void> {
   stack.sidecar(upstream).signal('SIGSTOP');
   await wait(forMs);
   stack.sidecar(upstream).signal('SIGCONT');
 }
 
-const BLOWS = {
+const FAULTS = {
   kill,
   pause: (stack: Stack, upstream: string) => pause(stack, upstream, PAUSE_MS),
   freeze: (stack: Stack, upstream: string) => pause(stack, upstream, FREEZE_MS),
 } as const;
 
-/** What happens to a sidecar in turn. */
-const TURNS = ['kill', 'pause', 'kill', 'pause', 'kill', 'freeze'] as const;
+/** Faults of successive rounds, repeated in this order. */
+const FAULT_SEQUENCE = ['kill', 'pause', 'kill', 'pause', 'kill', 'freeze'] as const;
 
-async function playRound(stack: Stack, round: number) {
-  const blow = TURNS[round % TURNS.length] ?? 'kill';
+async function runRound(stack: Stack, round: number) {
+  const fault = FAULT_SEQUENCE[round % FAULT_SEQUENCE.length] ?? 'kill';
   const upstream = stack.upstreams[round % stack.upstreams.length] ?? '';
-  const planned = schedule(SEED + round, `round-${round}`, ROUND_MS, REQUESTS_PER_ROUND);
-  const confirmations = planned.map((one) => ({ ...one, type: 'confirm' as const }));
-  const blown = wait(BLOW_AT_MS).then(() => BLOWS[blow](stack, upstream));
-  const [records] = await Promise.all([runLoad(stack, confirmations), blown]);
-  return { blow, records };
+  const requests = schedule(SEED + round, `round-${round}`, ROUND_MS, REQUESTS_PER_ROUND);
+  const confirmations = requests.map((request) => ({ ...request, type: 'confirm' as const }));
+  const faultDone = wait(FAULT_AT_MS).then(() => FAULTS[fault](stack, upstream));
+  const [records] = await Promise.all([runLoad(stack, confirmations), faultDone]);
+  return { fault, records };
 }
 
 /**
- * Real processes, 2 entries and 3 sidecars before plain services: a sidecar is killed, paused or frozen
- * past the deadline in each of twenty rounds of confirmations that may not be repeated. The services count what ran.
+ * Runs 2 entries and 3 sidecars as processes in front of plain services. In each of 20 rounds of non-repeatable
+ * confirmations, one sidecar is killed, paused, or frozen beyond the deadline. The services count the requests
+ * that they executed.
  */
 export const killRounds: Bench = async () => {
   const stack = new Stack({
@@ -61,22 +62,22 @@
     hasFaults: false,
   });
   await stack.start();
-  const rounds: Awaited<ReturnType<typeof playRound>>[] = [];
-  for (let round = 0; round < ROUNDS; round += 1) rounds.push(await playRound(stack, round));
+  const rounds: Awaited<ReturnType<typeof runRound>>[] = [];
+  for (let round = 0; round < ROUNDS; round += 1) rounds.push(await runRound(stack, round));
   const exitCodes = await stack.stop();
-  const all = tally(
+  const total = tally(
     rounds.flatMap(({ records }) => records),
     stack.standIns,
   );
-  const byBlow = (blow: keyof typeof BLOWS) => {
-    const struck = rounds.filter((round) => round.blow === blow);
+  const resultsOf = (fault: keyof typeof FAULTS) => {
+    const selected = rounds.filter((round) => round.fault === fault);
     const { asked, answered, refused, unknown, reasons } = tally(
-      struck.flatMap(({ records }) => records),
+      selected.flatMap(({ records }) => records),
       stack.standIns,
     );
-    return { rounds: struck.length, asked, answered, refused, unknown, reasons };
+    return { rounds: selected.length, asked, answered, refused, unknown, reasons };
   };
-  const { asked, answered, refused, unknown, lost, doubled, cut, falseNotRun } = all;
+  const { asked, answered, refused, unknown, lost, doubled, cut, falseNotRun } = total;
   return {
     rounds: ROUNDS,
     asked,
@@ -88,9 +89,9 @@
     doubled,
     cut,
     falseNotRun,
-    kill: byBlow('kill'),
-    pause: byBlow('pause'),
-    freeze: byBlow('freeze'),
+    kill: resultsOf('kill'),
+    pause: resultsOf('pause'),
+    freeze: resultsOf('freeze'),
     exitCodes,
   };
 };
--- a/bench/ledgercheck/check.ts
+++ b/bench/ledgercheck/checkledger.ts
@@ -3,34 +3,32 @@
 import { residencyRulesInForce, type ResidencyRules } from '../../src/core/residency/index.js';
 import { World } from './world.js';
 
-const LARGEST_CHOICE = 2 ** 16;
+const MAX_CHOICE = 2 ** 16;
 
-/** What a check looks at. */
 interface CheckOptions {
   readonly checksFencing: boolean;
-  /** Interleavings to try. */
+  /** Number of interleavings to try. */
   readonly runs: number;
   readonly seed: number;
-  /** Actions of one interleaving: from half of it to all. */
+  /** Maximum number of actions in an interleaving; the minimum is half of it. */
   readonly length: number;
-  /** Guards; those in force unless a mutation is tried. */
+  /** Safety guards. The default is the guards used in production; mutations replace one of them. */
   readonly fence?: FenceRules;
   readonly residency?: ResidencyRules;
 }
 
-/** What a check found. */
 interface CheckResult {
   readonly runs: number;
-  /** Copies of load orders that reached an engine, over all runs. */
+  /** Copies of load orders that the engine received, over all runs. */
   readonly loads: number;
-  /** A broken interleaving from which no action can be left out; undefined when all held. */
+  /** A minimal interleaving that violates an invariant: each of its actions is needed. Undefined if there is none. */
   readonly counterexample:
     { readonly violation: string; readonly actions: readonly string[] } | undefined;
 }
 
 type Setup = ConstructorParameters<typeof World>[0];
 
-function play(setup: Setup, choices: readonly number[]): World {
+function replay(setup: Setup, choices: readonly number[]): World {
   const world = new World(setup);
   for (const choice of choices) {
     world.act(choice);
@@ -39,33 +37,33 @@
   return world;
 }
 
-/** Leaves out actions, one at a time, while the rest still breaks a promise. */
-function shorten(setup: Setup, choices: readonly number[]): readonly number[] {
+/** Removes actions one at a time as long as the remaining ones still violate an invariant. */
+function shrink(setup: Setup, choices: readonly number[]): readonly number[] {
   for (let index = choices.length - 1; index >= 0; index -= 1) {
     const shorter = choices.filter((_, at) => at !== index);
-    if (play(setup, shorter).violation) return shorten(setup, shorter);
+    if (replay(setup, shorter).violation) return shrink(setup, shorter);
   }
   return choices;
 }
 
-/** Runs interleavings until one breaks a promise, and shortens that one. */
-export function check(options: CheckOptions): CheckResult {
+/** Runs random interleavings until one violates an invariant, and shrinks that one. */
+export function checkLedger(options: CheckOptions): CheckResult {
   const { checksFencing, runs, seed, length } = options;
   const { fence = defaultFenceRules, residency = residencyRulesInForce } = options;
   const setup = { checksFencing, fence, residency };
-  const choice = fc.nat(LARGEST_CHOICE);
+  const choice = fc.nat(MAX_CHOICE);
   const lengths = { minLength: length / 2, maxLength: length, size: 'max' as const };
   let loads = 0;
   const property = fc.property(fc.array(choice, lengths), (choices) => {
-    const world = play(setup, choices);
+    const world = replay(setup, choices);
     loads += world.loads;
     return world.violation === undefined;
   });
   const found = fc.check(property, { numRuns: runs, seed, endOnFailure: true });
   if (!found.counterexample) return { runs: found.numRuns, loads, counterexample: undefined };
-  const shortest = shorten(setup, found.counterexample[0]);
-  const world = play(setup, shortest);
-  const actions = shortest.map((each) => world.nameOf(each));
+  const shrunk = shrink(setup, found.counterexample[0]);
+  const world = replay(setup, shrunk);
+  const actions = shrunk.map((selected) => world.nameOf(selected));
   return {
     runs: found.numRuns,
     loads,
--- a/bench/ledgercheck/modelengine.ts
+++ b/bench/ledgercheck/modelengine.ts
@@ -10,27 +10,31 @@
   phase: 'loading' | 'ready' | 'unloading';
 }
 
-/** KV cache that an engine truly takes in each role. */
+/** KV cache bytes that the engine allocates in each role. */
 const KV_CACHE_BYTES = { mixed: 10, prefill: 0, decode: 20 } as const;
 
-/** An engine's true memory: it takes whatever it is ordered, also when that is too much. */
+/** Reference model of an engine's memory. It executes loads even if they exceed its capacity. */
 export class ModelEngine {
   static readonly capacityBytes = 100;
 
   static readonly kvCacheBytes = KV_CACHE_BYTES;
 
-  private life = 1;
+  /** Number of the engine process, counted from 1; a restart increments it. */
+  private processNumber = 1;
 
   private sequence = 0;
 
-  /** The highest token outlives a restart: else an engine does not check fences (see the design note). */
+  /**
+   * Highest fencing token received. It survives restarts: an engine that forgets it does not check fencing, see
+   * docs/design/memory.md.
+   */
   private highestToken = 0;
 
   private role: EngineReport['role'] = 'mixed';
 
   private readonly residents = new Map<HoldingKey, Resident>();
 
-  private readonly seen = new Set<string>();
+  private readonly acceptedIds = new Set<string>();
 
   private settled: string[] = [];
 
@@ -48,18 +52,18 @@
     return this.usedBytes() > ModelEngine.capacityBytes;
   }
 
-  /** Takes one copy of an order. */
+  /** Handles one copy of an order. Copies of an order that was accepted before have no further effect. */
   take(order: Order): 'accepted' | 'fenced' {
     if (this.checksFencing && order.fencingToken < this.highestToken) return 'fenced';
     this.highestToken = Math.max(this.highestToken, order.fencingToken);
-    if (this.seen.has(order.orderId)) return 'accepted';
-    this.seen.add(order.orderId);
+    if (this.acceptedIds.has(order.orderId)) return 'accepted';
+    this.acceptedIds.add(order.orderId);
     this.begin(order);
     this.pending.push(order);
     return 'accepted';
   }
 
-  /** Ends one of the orders under way. */
+  /** Completes one of the pending orders, selected by `choice`. */
   finish(choice: number): void {
     const [order] = this.pending.splice(choice % Math.max(1, this.pending.length), 1);
     if (!order) return;
@@ -72,10 +76,10 @@
   }
 
   restart(): void {
-    this.life += 1;
+    this.processNumber += 1;
     this.role = 'mixed';
     this.residents.clear();
-    this.seen.clear();
+    this.acceptedIds.clear();
     this.settled = [];
     this.pending = [];
   }
@@ -84,7 +88,7 @@
     this.sequence += 1;
     const all = [...this.residents.values()];
     return {
-      engineId: `life-${this.life}`,
+      engineId: `life-${this.processNumber}`,
       sequence: this.sequence,
       ageMs: 0,
       settledOrderIds: [...this.settled],
--- a/bench/ledgercheck/modelsidecar.ts
+++ b/bench/ledgercheck/modelsidecar.ts
@@ -16,26 +16,27 @@
 } from '../../src/core/residency/index.js';
 import type { Order } from '../../src/port/index.js';
 
-/** What a sidecar has decided to send, but has not sent yet: a pause may come in between. */
+/** A message that a sidecar has decided to send but has not sent; the process may be suspended before it does. */
 type Sending =
   | { readonly type: 'order'; readonly order: Order }
   | Extract<FenceEffect, { type: 'read-key' | 'swap-key' }>;
 
-/** The guards that a run uses. */
+/** Safety guards used by a run. */
 interface Rules {
   readonly fence: FenceRules;
   readonly residency: ResidencyRules;
 }
 
-/** One sidecar process, driven by hand: the same two cores as in the daemon, joined the same way. */
+/** A sidecar process driven step by step. It runs the daemon's fence and residency cores, connected as there. */
 export class ModelSidecar {
   isPaused = false;
 
+  /** Number of status polls sent to the engine. */
   polls = 0;
 
   readonly outbox: Sending[] = [];
 
-  /** Keys of each request in flight. */
+  /** Pinned holdings of each request in flight. */
   readonly requests: (readonly HoldingKey[])[] = [];
 
   residency = emptyResidency('u');
@@ -49,7 +50,8 @@
     this.fence = emptyFence(owner);
   }
 
-  hold(event: FenceEvent, nowMs: Ms): void {
+  /** Applies an event to the fence core and carries out the effects. */
+  takeFenceEvent(event: FenceEvent, nowMs: Ms): void {
     const { state, effects } = stepFence(this.fence, event, nowMs, this.rules.fence);
     this.fence = state;
     for (const effect of effects) {
@@ -61,6 +63,7 @@
     }
   }
 
+  /** Applies an event to the residency core and carries out the effects. */
   take(event: ResidencyEvent, nowMs: Ms): readonly ResidencyEffect[] {
     const change = stepResidency(this.residency, event, nowMs, this.rules.residency);
     this.residency = change.state;
@@ -68,7 +71,7 @@
       if (effect.type === 'order') this.outbox.push(effect);
       else if (effect.type === 'pinned') this.requests.push(effect.keys);
       else if (effect.type === 'intents') {
-        this.hold({ type: 'wanted', intents: effect.intents }, nowMs);
+        this.takeFenceEvent({ type: 'wanted', intents: effect.intents }, nowMs);
       }
     }
     return change.effects;
--- a/bench/ledgercheck/modelstore.ts
+++ b/bench/ledgercheck/modelstore.ts
@@ -1,7 +1,7 @@
 import type { Revision } from '../../src/base/index.js';
 import type { KeyValue, SwapOutcome } from '../../src/port/index.js';
 
-/** One key of the store. */
+/** Reference model of the store, reduced to one key with compare-and-swap. */
 export class ModelStore {
   isDown = false;
 
--- a/bench/ledgercheck/mutations.ts
+++ b/bench/ledgercheck/mutations.ts
@@ -3,14 +3,14 @@
 import { defaultLedgerRules, type LedgerRules } from '../../src/core/ledger/index.js';
 import { residencyRulesInForce, type ResidencyRules } from '../../src/core/residency/index.js';
 
-/** One guard turned off. */
+/** A safety guard and the rules that disable it. */
 interface Mutation {
   readonly name: string;
-  /** What the mutated system does wrong. */
+  /** The fault that the mutated system has. */
   readonly wrong: string;
-  /** Kinds of upstream on which the guard matters. */
+  /** Values of the upstream's `checksFencing` for which the guard is needed. */
   readonly checksFencing: readonly boolean[];
-  /** Too rare for the short run of CI: a golden session shows this guard there. */
+  /** True if a short run rarely finds a counterexample. In CI a golden session covers this guard instead. */
   readonly isRare?: boolean;
   readonly fence?: FenceRules;
   readonly residency?: ResidencyRules;
@@ -18,33 +18,35 @@
 
 const BOTH = [true, false];
 
-function ledger(change: Partial<LedgerRules>): ResidencyRules {
+function withLedgerRules(change: Partial<LedgerRules>): ResidencyRules {
   return { ...residencyRulesInForce, ledger: { ...defaultLedgerRules, ...change } };
 }
 
-function residency(change: Partial<ResidencyRules>): ResidencyRules {
+function withResidencyRules(change: Partial<ResidencyRules>): ResidencyRules {
   return { ...residencyRulesInForce, ...change };
 }
 
-/** Every guard, each turned off alone. */
+/** All guards, each disabled on its own. */
 export const mutations: readonly Mutation[] = [
   {
     name: 'reserve-before-sending',
-    wrong: 'a load takes memory in the ledger only once it has been sent',
+    wrong: 'a load reserves memory only after it has been sent',
     checksFencing: BOTH,
-    residency: ledger({ reservesMemory: ({ phase }) => phase !== 'intended' && phase !== 'sent' }),
+    residency: withLedgerRules({
+      reservesMemory: ({ phase }) => phase !== 'intended' && phase !== 'sent',
+    }),
   },
   {
     name: 'unknown-keeps-reservation',
-    wrong: 'an order without an answer gives its memory back',
+    wrong: 'an unconfirmed order releases its memory reservation',
     checksFencing: BOTH,
-    residency: ledger({ reservesMemory: ({ phase }) => phase !== 'unknown' }),
+    residency: withLedgerRules({ reservesMemory: ({ phase }) => phase !== 'unknown' }),
   },
   {
     name: 'only-settled-resolves',
     wrong: 'a report that does not show the model resolves its load',
     checksFencing: BOTH,
-    residency: ledger({
+    residency: withLedgerRules({
       provesResolved: (report, { order }) =>
         report.settledOrderIds.includes(order.orderId) ||
         !report.residents.some(({ model }) => model === order.model),
@@ -52,15 +54,15 @@
   },
   {
     name: 'restart-is-no-proof',
-    wrong: 'a new engine process resolves what the old one was sent',
+    wrong: 'an engine restart resolves the orders sent to the previous process',
     checksFencing: BOTH,
-    residency: ledger({ survivesRestart: () => false }),
+    residency: withLedgerRules({ survivesRestart: () => false }),
   },
   {
     name: 'unload-frees-on-report',
-    wrong: 'an unload gives memory back as soon as it is sent',
+    wrong: 'an unload releases memory as soon as it is sent',
     checksFencing: BOTH,
-    residency: ledger({
+    residency: withLedgerRules({
       countsAsUsed: ({ key }, { openOrders }) =>
         ![...openOrders.values()].some(
           (open) => open.key === key && open.order.action.startsWith('unload'),
@@ -71,70 +73,70 @@
     name: 'reports-in-order',
     wrong: 'an older report replaces a newer one',
     checksFencing: BOTH,
-    residency: ledger({ isNewReport: () => true }),
+    residency: withLedgerRules({ isNewReport: () => true }),
   },
   {
     name: 'cache-reserve',
-    wrong: 'the reserve for the KV cache is given to models',
+    wrong: 'the memory reserved for the KV cache is used for models',
     checksFencing: BOTH,
-    residency: ledger({ kvCacheReserve: () => 0 }),
+    residency: withLedgerRules({ kvCacheReserve: () => 0 }),
   },
   {
     name: 'role-reserve',
-    wrong: 'a change of role reserves nothing for the cache of the new role',
+    wrong: 'a role change reserves no memory for the KV cache of the new role',
     checksFencing: BOTH,
-    residency: ledger({
+    residency: withLedgerRules({
       kvCacheReserve: ({ kvCacheReserveBytes, role }) => kvCacheReserveBytes[role],
     }),
   },
   {
     name: 'intent-first',
-    wrong: 'an order leaves before its intent is in the store',
+    wrong: 'an order is sent before its intent is in the store',
     checksFencing: [false],
-    residency: residency({ isRecorded: () => true }),
+    residency: withResidencyRules({ isRecorded: () => true }),
   },
   {
     name: 'fresh-proof',
-    wrong: 'an order leaves on a proof from before a long pause',
+    wrong: 'an order is sent on a proof of ownership from before a long suspension',
     checksFencing: [false],
     isRare: true,
-    residency: residency({ isFresh: () => true }),
+    residency: withResidencyRules({ isFresh: () => true }),
   },
   {
     name: 'report-after-taking',
-    wrong: 'a successor orders by a report that it asked for before it took the incarnation',
+    wrong: 'a successor sends orders based on a report requested before it took the incarnation',
     checksFencing: [false],
-    residency: residency({ hasCurrentReport: () => true }),
+    residency: withResidencyRules({ hasCurrentReport: () => true }),
   },
   {
     name: 'read-back',
-    wrong: 'a write without an answer counts as written',
+    wrong: 'a write whose answer was lost counts as written',
     checksFencing: [false],
     fence: { ...defaultFenceRules, trustsLostAnswer: true },
   },
   {
     name: 'superseded-stops',
-    wrong: 'a sidecar that finds a later incarnation writes over it and goes on',
+    wrong: 'a sidecar that finds a later incarnation overwrites it and continues',
     checksFencing: [false],
     fence: { ...defaultFenceRules, isSuperseded: () => false },
   },
   {
     name: 'intents-inherited',
-    wrong: 'a successor forgets the intents of those before it',
+    wrong: 'a successor ignores the intents of earlier incarnations',
     checksFencing: [false],
-    residency: residency({ inherit: () => [] }),
+    residency: withResidencyRules({ inherit: () => [] }),
   },
   {
     name: 'barrier',
-    wrong: 'a successor loads before the engine refuses earlier tokens',
+    wrong: 'a successor loads models before the engine rejects earlier fencing tokens',
     checksFencing: [true],
-    residency: residency({ hasBarrier: () => true }),
+    residency: withResidencyRules({ hasBarrier: () => true }),
   },
   {
     name: 'own-token',
-    wrong: 'an order carries the highest token that a report has shown, which stops nobody',
+    wrong: 'an order carries the highest reported fencing token, which fences off no other sidecar',
     checksFencing: [true],
-    residency: residency({
+    residency: withResidencyRules({
       showsSuccessor: () => false,
       tokenOf: ({ incarnation, ledger: { highestFencingToken } }) =>
         Math.max(incarnation, highestFencingToken) as Incarnation,
@@ -144,12 +146,12 @@
     name: 'pins-hold-unloads',
     wrong: 'a holding is unloaded while requests use it',
     checksFencing: BOTH,
-    residency: residency({ isPinned: () => false }),
+    residency: withResidencyRules({ isPinned: () => false }),
   },
   {
     name: 'marked-takes-no-pins',
-    wrong: 'a holding that is about to be unloaded takes new requests',
+    wrong: 'a holding that is about to be unloaded accepts new requests',
     checksFencing: BOTH,
-    residency: residency({ isBeingRemoved: () => false }),
+    residency: withResidencyRules({ isBeingRemoved: () => false }),
   },
 ];
--- a/bench/ledgercost.ts
+++ b/bench/ledgercost.ts
@@ -8,17 +8,17 @@
 } from '../src/core/residency/index.js';
 import type { EngineReport } from '../src/port/index.js';
 
-/** Models in the document and in memory, for the slope. */
+/** Numbers of models in the document and in memory; several, to show how cost scales. */
 const SIZES = [10, 40, 160, 640];
 
 const MEASURE_MS: Ms = 700;
 const BATCH = 20;
 
-const nameOf = (index: number) => `model-${index}` as ModelId;
+const modelName = (index: number) => `model-${index}` as ModelId;
 
 function reportOf(models: number, sequence: number): EngineReport {
   const residents = Array.from({ length: models }, (_, index) => ({
-    model: nameOf(index),
+    model: modelName(index),
     version: '1',
     sizeBytes: 10,
     phase: 'ready' as const,
@@ -41,18 +41,18 @@
 }
 
 function planOf(models: number): Extract<ResidencyEvent, { type: 'plan' }> {
-  const names = Array.from({ length: models }, (_, index) => nameOf(index));
+  const names = Array.from({ length: models }, (_, index) => modelName(index));
   const wanted = names.map((model) => ({ model, version: '', adapters: [], urgency: 0 }));
   const plan = { epoch: 1, sequence: 1, models: wanted, role: undefined, keepUntilPlaced: [] };
   return { type: 'plan', upstream: 'u', plan };
 }
 
-/** A sidecar with so many models resident and planned. */
+/** Returns the state of a sidecar with this number of models resident and planned. */
 function stateOf(models: number): ResidencyState {
   const catalogue = {
     models: new Map(
       Array.from({ length: models }, (_, index) => [
-        nameOf(index) as string,
+        modelName(index) as string,
         { version: '1', sizeBytes: 10 },
       ]),
     ),
@@ -90,7 +90,7 @@
   let state = stateOf(models);
   const start = state;
   const pinned = perSecond((round) => {
-    const model = nameOf(round % models);
+    const model = modelName(round % models);
     state = stepResidency(state, { type: 'pin', model, adapter: '' }, round).state;
     const keys = [holdingKeyOf(model, '1')];
     state = stepResidency(state, { type: 'unpin', keys }, round).state;
@@ -113,8 +113,11 @@
   };
 }
 
-/** `npm run bench -- ledger-cost`: what the memory core costs one core, against the number of models. */
+/** `npm run bench -- ledger-cost`: throughput of the residency core on one CPU core, by number of models. */
 export async function ledgerCost(): Promise<object> {
   measure(SIZES[0] ?? 1);
-  return { note: 'operations a second on one core', sizes: SIZES.map((models) => measure(models)) };
+  return {
+    note: 'operations per second on one CPU core',
+    sizes: SIZES.map((models) => measure(models)),
+  };
 }
--- a/bench/memory/enginesite.ts
+++ b/bench/memory/enginefixture.ts
@@ -3,22 +3,22 @@
 import type { RandomGenerator } from 'pure-rand/types/RandomGenerator';
 import type { Daemon } from '../../demo/daemon.js';
 import { FakeEngine, seededFaults } from '../../standin/index.js';
-import { planCall } from './plancall.js';
+import { sendPlan } from './sendplan.js';
 import type { Platform } from './platform.js';
 import { serviceDocument } from './servicedocument.js';
 
 const ORDER_FAULTS = { delay: 0.3, loss: 0.15 };
 const REPORT_LAG_MS = 60;
-const LONGEST_BEFORE_MS = 250;
-const TRIES_MS = 100;
+const MAX_FAULT_DELAY_MS = 250;
+const RETRY_INTERVAL_MS = 100;
 const SETTLE_MS = 1000;
 
-/** One engine whose sidecar is frozen or killed in each round, and followed by another. */
-export class EngineSite {
+/** An engine whose sidecar is frozen or killed and replaced by a successor in each round. */
+export class EngineFixture {
   readonly engine: FakeEngine;
 
-  /** Plans that a woken sidecar took although another had followed it. */
-  staleAccepted = 0;
+  /** Plans that a resumed sidecar accepted although a successor had replaced it. */
+  stalePlanCount = 0;
 
   private url = '';
 
@@ -51,23 +51,23 @@
   }
 
   /**
-   * The sidecar gets a plan and is frozen or killed with its orders under way; another follows and gets
-   * another plan; the first wakes up and is told to load something else.
+   * Sends the sidecar a plan and freezes or kills it while its orders are in progress. Starts a successor and sends
+   * it another plan. A frozen sidecar is then resumed and sent a third plan.
    */
   async round(isFrozen: boolean): Promise<void> {
-    const old = this.sidecar!;
-    await this.plan(old);
-    await wait(uniformInt(this.random, 0, LONGEST_BEFORE_MS));
-    if (isFrozen) old.signal('SIGSTOP');
-    else await old.end('SIGKILL');
+    const previous = this.sidecar!;
+    await this.placeModels(previous);
+    await wait(uniformInt(this.random, 0, MAX_FAULT_DELAY_MS));
+    if (isFrozen) previous.signal('SIGSTOP');
+    else await previous.end('SIGKILL');
     this.sidecar = await this.platform.startSidecar(this.upstream, this.url);
-    await this.plan(this.sidecar);
+    await this.placeModels(this.sidecar);
     if (isFrozen) {
-      old.signal('SIGCONT');
-      if (await this.plan(old)) this.staleAccepted += 1;
+      previous.signal('SIGCONT');
+      if (await this.placeModels(previous)) this.stalePlanCount += 1;
     }
     await wait(SETTLE_MS);
-    if (isFrozen) await old.end('SIGKILL');
+    if (isFrozen) await previous.end('SIGKILL');
   }
 
   async stop(): Promise<void> {
@@ -75,8 +75,8 @@
     this.engine.close();
   }
 
-  /** Tells a sidecar to hold two models that fit together, as soon as it takes plans. */
-  private async plan({ port }: Daemon): Promise<boolean> {
+  /** Sends a plan with two models that fit together, and retries until the sidecar accepts it. */
+  private async placeModels({ port }: Daemon): Promise<boolean> {
     this.epoch += 1;
     const { models, name } = serviceDocument;
     const first = uniformInt(this.random, 0, models.length - 1);
@@ -91,10 +91,10 @@
       role: '',
       keepUntilPlaced: [],
     };
-    for (let tries = 0; tries < 30; tries += 1) {
-      const reply = await planCall(port, plan);
+    for (let attempt = 0; attempt < 30; attempt += 1) {
+      const reply = await sendPlan(port, plan);
       if (reply?.accepted) return true;
-      await wait(TRIES_MS);
+      await wait(RETRY_INTERVAL_MS);
     }
     return false;
   }
--- a/bench/memory/platform.ts
+++ b/bench/memory/platform.ts
@@ -10,7 +10,7 @@
 
 const HOST_LIST_POLL_MS = 200;
 
-/** Store, host list and one entry, through which sidecars get their document. */
+/** Runs the store, the host list and one entry. Sidecars receive the service document from the entry. */
 export class Platform {
   private readonly directory = mkdtempSync(join(tmpdir(), 'tarragonstile-'));
 
@@ -24,9 +24,9 @@
 
   private entry: Daemon | undefined;
 
-  private started = 0;
+  private sidecarCount = 0;
 
-  /** Starts all, and accepts the document. */
+  /** Starts the store, the host list and the entry, and applies the service document. */
   async start(document: object): Promise<void> {
     this.storeUrl = await this.store.listen();
     this.hostsUrl = await this.hosts.listen();
@@ -46,10 +46,10 @@
     });
   }
 
-  /** Starts one more sidecar beside an engine. */
+  /** Starts another sidecar for an engine. */
   startSidecar(upstream: string, upstreamUrl: string): Promise<Daemon> {
-    this.started += 1;
-    const name = `${upstream}-${this.started}`;
+    this.sidecarCount += 1;
+    const name = `${upstream}-${this.sidecarCount}`;
     return Daemon.start('sidecar', this.directory, name, {
       ...this.settingsOf(name),
       upstream,
--- a/bench/memory/plancall.ts
+++ b/bench/memory/sendplan.ts
@@ -3,8 +3,8 @@
 
 const TIMEOUT_MS = 1000;
 
-/** Gives one sidecar a plan; undefined if it did not answer in time. */
-export function planCall(port: number, plan: PlacementPlan): Promise<PlacementReply | undefined> {
+/** Sends a placement plan to a sidecar. Returns undefined if the call failed or timed out. */
+export function sendPlan(port: number, plan: PlacementPlan): Promise<PlacementReply | undefined> {
   const client = new WorkClient(`127.0.0.1:${port}`, credentials.createInsecure());
   const deadline = Date.now() + TIMEOUT_MS;
   return new Promise((resolve) => {
--- a/bench/memory/servicedocument.ts
+++ b/bench/memory/servicedocument.ts
@@ -1,4 +1,4 @@
-/** Bytes of the models: not all fit into an engine of `memoryBytes` at once. */
+/** Sizes of the models in bytes. Together they exceed the memory of an engine (`memoryBytes`). */
 const MODEL_BYTES = { a: 50, b: 40, c: 30, d: 25 };
 
 const LIMITS = {
@@ -8,7 +8,7 @@
   ticketValidMs: 60_000,
 };
 
-interface Site {
+interface EngineSpec {
   readonly upstream: string;
   readonly checksFencing: boolean;
 }
@@ -16,7 +16,7 @@
 const memoryBytes = 100;
 const kvCacheReserveBytes = 10;
 
-function groupOf({ upstream, checksFencing }: Site, sidecarAddress: string): object {
+function groupOf({ upstream, checksFencing }: EngineSpec, sidecarAddress: string): object {
   return {
     name: `engines-${upstream}`,
     availabilityZone: 'oviedo-a',
@@ -31,7 +31,7 @@
   };
 }
 
-/** A service of small engines, one group for each. */
+/** The document of a service with small engines, each in a group of its own. */
 export const serviceDocument = {
   name: 'redactor',
   owner: 'post',
@@ -39,8 +39,8 @@
   models: Object.keys(MODEL_BYTES),
   memoryBytes,
   kvCacheReserveBytes,
-  /** The document as operators write it. */
-  of(sites: readonly Site[]): object {
+  /** Returns the document in the form that operators write. */
+  of(engines: readonly EngineSpec[]): object {
     return {
       schemaVersion: 1,
       service: 'redactor',
@@ -55,7 +55,7 @@
         defaultKind: 'draft',
       })),
       adapters: [],
-      groups: sites.map((site, index) => groupOf(site, `127.0.0.1:${7100 + index}`)),
+      groups: engines.map((engine, index) => groupOf(engine, `127.0.0.1:${7100 + index}`)),
       weightStore: { loadsPerSecond: 3, parallelLoads: 4 },
       placement: { movePenalty: 0, spareUpstreams: 0 },
       limits: LIMITS,
--- a/bench/memoryrounds.ts
+++ b/bench/memoryrounds.ts
@@ -1,5 +1,5 @@
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
-import { EngineSite } from './memory/enginesite.js';
+import { EngineFixture } from './memory/enginefixture.js';
 import { Platform } from './memory/platform.js';
 import { serviceDocument } from './memory/servicedocument.js';
 
@@ -7,28 +7,34 @@
 const SEED = 11;
 
 /**
- * `npm run bench -- memory-rounds [rounds]`: sidecars of an engine that checks fences and of one that does
- * not, as processes; each round kills or freezes them with orders under way, starts their successors, and
- * wakes the frozen ones. The engines count what truly overflowed.
+ * `npm run bench -- memory-rounds [rounds]`: runs sidecar processes for an engine that checks fencing tokens and
+ * for one that does not. Each round kills or freezes the sidecars while orders are in progress, starts successors, and
+ * resumes the frozen ones. The engines count how often their memory was overcommitted.
  */
 export async function memoryRounds(args: readonly string[]): Promise<object> {
   const rounds = Number(args[0] ?? ROUNDS);
   const platform = new Platform();
   const random = xoroshiro128plus(SEED);
-  const sites = [true, false].map(
+  const fixtures = [true, false].map(
     (checksFencing, index) =>
-      new EngineSite(platform, `redactor-${index + 1}`, checksFencing, random, SEED + index),
+      new EngineFixture(platform, `redactor-${index + 1}`, checksFencing, random, SEED + index),
   );
-  await platform.start(serviceDocument.of(sites));
-  await Promise.all(sites.map((site) => site.start()));
+  await platform.start(serviceDocument.of(fixtures));
+  await Promise.all(fixtures.map((fixture) => fixture.start()));
   for (let round = 0; round < rounds; round += 1) {
-    await Promise.all(sites.map((site) => site.round(round % 2 === 0)));
+    await Promise.all(fixtures.map((fixture) => fixture.round(round % 2 === 0)));
   }
-  await Promise.all(sites.map((site) => site.stop()));
+  await Promise.all(fixtures.map((fixture) => fixture.stop()));
   await platform.stop();
-  const results = sites.map(({ checksFencing, engine, staleAccepted }) => {
+  const results = fixtures.map(({ checksFencing, engine, stalePlanCount }) => {
     const { overcommits, loads, unloads } = engine.counts;
-    return { checksFencing, overcommits, loads, unloads, plansTakenByWokenSidecars: staleAccepted };
+    return {
+      checksFencing,
+      overcommits,
+      loads,
+      unloads,
+      plansTakenByWokenSidecars: stalePlanCount,
+    };
   });
   return { rounds, seed: SEED, engines: results };
 }
--- a/bench/mesh/cluster.ts
+++ b/bench/mesh/cluster.ts
@@ -19,7 +19,7 @@
 
 type Host = Extract<Awaited<ReturnType<HostList['read']>>, { ok: true }>['val'][number];
 
-/** One node and its listener. */
+/** A node with its listener. */
 interface MeshNode {
   readonly id: string;
   readonly address: string;
@@ -29,20 +29,19 @@
   readonly close: () => void;
 }
 
-/** Options of a cluster. */
 interface ClusterOptions {
   readonly entryCount: number;
-  /** Sidecars of the one service; 0 by default. */
+  /** Number of sidecars, all of the same service; 0 by default. */
   readonly sidecarCount?: number;
   readonly tuning?: Partial<MeshOptions>;
 }
 
 const REGION = 'cantabrico';
 const SERVICE = 'redactor' as ServiceId;
-const silent = { info() {}, warn() {}, error() {} };
-const uncounted = { count() {}, gauge() {}, histogram() {} };
+const noLog = { info() {}, warn() {}, error() {} };
+const noMetrics = { count() {}, gauge() {}, histogram() {} };
 
-/** A region of nodes that share this process, over real gRPC on the loopback, and a store beside it. */
+/** Runs the nodes of a region and a stand-in store in this process. Nodes communicate by gRPC over loopback. */
 export class Cluster {
   readonly store = new MemoryStore();
 
@@ -72,7 +71,7 @@
       await cluster.launch(`sidecar-${index}`, 'sidecar');
     }
     await cluster.write();
-    await cluster.until(() => cluster.live().every(({ board }) => board.caughtUp()));
+    await cluster.waitUntil(() => cluster.live().every(({ board }) => board.caughtUp()));
     return cluster;
   }
 
@@ -80,12 +79,12 @@
     return [...this.nodes.values()];
   }
 
-  /** The nodes that hold a watch on the store, first the one that the tree begins at. */
+  /** Returns the nodes that watch the store, in the order in which they were started. */
   relays(): readonly MeshNode[] {
     return this.live().filter(({ board }) => board.status().store === 'watching');
   }
 
-  /** Starts a node, at its old address if it had one. */
+  /** Starts a node. A restarted node is passed its previous address. */
   async launch(id: string, role: 'entry' | 'sidecar', address = '127.0.0.1:0'): Promise<MeshNode> {
     this.seed += 1;
     const { seed } = this;
@@ -107,8 +106,8 @@
         role,
         interests: role === 'entry' ? [] : [`document/${SERVICE}`, `upstream/${SERVICE}/${id}`],
         clock: systemClock,
-        log: silent,
-        metrics: uncounted,
+        log: noLog,
+        metrics: noMetrics,
         store: store ?? absentStore,
         hasStore: role === 'entry',
         hostList: { read: () => Promise.resolve(result.Ok(this.hosts)) },
@@ -116,15 +115,15 @@
         seed,
         tuning: this.options.tuning,
       });
-      const served = (await serveMesh(this.gate(id, board), address)).unwrap();
-      const node = { id, role, board, store, address: served.address, close: served.close };
+      const listener = (await serveMesh(this.freezableBoard(id, board), address)).unwrap();
+      const node = { id, role, board, store, address: listener.address, close: listener.close };
       this.nodes.set(id, node);
-      this.list(node);
+      this.addToHostList(node);
       return node;
     });
   }
 
-  /** Kills a node at once; the host list goes on showing it. */
+  /** Kills a node immediately; it stays in the host list. */
   async kill(id: string): Promise<void> {
     const node = this.nodes.get(id);
     this.nodes.delete(id);
@@ -132,7 +131,7 @@
     await node?.store?.close();
   }
 
-  /** The store refuses every call from now on, and all its watches are cut. */
+  /** Makes the store refuse every call, and closes all its watches. */
   storeDown(): void {
     this.store.faults.down = true;
     this.store.cutWatches();
@@ -142,19 +141,19 @@
     this.store.faults.down = false;
   }
 
-  /** Hands a record to one of the nodes, as a sidecar does to its entry. */
+  /** Publishes a record at one of the nodes, as a sidecar does at its entry. */
   publish(record: BoardRecord, node: number): void {
     const nodes = this.live();
     nodes[node % nodes.length]?.board.publish(record);
   }
 
-  /** A node stops answering, its connections stay open; the result ends that. */
+  /** Makes a node stop answering while its connections stay open. Returns a function that ends this. */
   freeze(id: string): () => void {
     this.frozen.add(id);
     return () => this.frozen.delete(id);
   }
 
-  /** Entries in the order of the document's fan-out. */
+  /** Returns the entries in the fan-out order of the document. */
   fanOutOrder(): readonly MeshNode[] {
     const entries = rankEntries(this.hosts.filter(({ role }) => role === 'entry'));
     const addresses = entries.map(({ address }) => address);
@@ -165,7 +164,7 @@
     return nodes.filter((node) => node !== undefined);
   }
 
-  /** Accepts a new document of a region in the store and gives its revision. */
+  /** Stores a new document for a region and returns its revision. */
   async write(region = REGION): Promise<Revision> {
     const key = serviceKey.of({ region, service: SERVICE });
     const members = this.hosts.filter(({ role }) => role === 'sidecar');
@@ -184,29 +183,33 @@
     return outcome.type === 'swapped' ? outcome.revision : (0 as Revision);
   }
 
-  /** Waits until this holds, looking every few milliseconds. */
-  async until(holds: () => boolean, limitMs = 20_000): Promise<boolean> {
+  /** Polls a condition every 5 ms until it holds or the limit has passed. Returns true if it holds. */
+  async waitUntil(condition: () => boolean, limitMs = 20_000): Promise<boolean> {
     const startMs = performance.now();
     while (performance.now() - startMs < limitMs) {
-      if (holds()) return true;
+      if (condition()) return true;
       await this.pause(5);
     }
-    return holds();
+    return condition();
   }
 
-  /** Time from `startMs` until each live node that is not frozen has the revision in force, by node. */
-  async spread(revision: Revision, startMs: number, limitMs = 10_000): Promise<readonly number[]> {
+  /** Returns, for each live node that is not frozen, the time from `startMs` until it has the revision in force. */
+  async propagationTimes(
+    revision: Revision,
+    startMs: number,
+    limitMs = 10_000,
+  ): Promise<readonly number[]> {
     const nodes = this.live().filter(({ id }) => !this.frozen.has(id));
     const waits = nodes.map(({ board }) => {
       if (board.revision(SERVICE) >= revision) return Promise.resolve(performance.now() - startMs);
       return new Promise<number>((resolve) => {
-        const give = () => resolve(performance.now() - startMs);
-        const timer = setTimeout(give, limitMs);
+        const resolveElapsed = () => resolve(performance.now() - startMs);
+        const timer = setTimeout(resolveElapsed, limitMs);
         const stop = board.onChange(`document/${SERVICE}`, ({ sequence }) => {
           if (sequence < revision) return;
           clearTimeout(timer);
           stop();
-          give();
+          resolveElapsed();
         });
       });
     });
@@ -224,8 +227,8 @@
     await this.server.close();
   }
 
-  /** Lets a node's listener take calls and not answer them while the node is frozen. */
-  private gate(id: string, board: MeshBoard): Parameters<typeof serveMesh>[0] {
+  /** Wraps a node's board so that calls are received but not answered while the node is frozen. */
+  private freezableBoard(id: string, board: MeshBoard): Parameters<typeof serveMesh>[0] {
     const { pull, push } = board.handlers();
     return {
       handlers: () => ({
@@ -241,7 +244,7 @@
     };
   }
 
-  private list({ id, role, address }: MeshNode): void {
+  private addToHostList({ id, role, address }: MeshNode): void {
     if (this.hosts.some((host) => host.id === id)) return;
     const place = { availabilityZone: 'oviedo-a', region: REGION };
     this.hosts.push({ ...place, id: id as HostId, role, address, state: 'live' });
--- a/bench/mesh/documenttext.ts
+++ b/bench/mesh/documenttext.ts
@@ -2,18 +2,18 @@
 const ADAPTER_COUNT = 100;
 const GIGABYTE = 1_000_000_000;
 
-let edition = 0;
+let documentNumber = 0;
 
-/** A document at today's size (40 models, 100 adapters), other each time, that names these sidecars. */
+/** Returns a document with 40 models, 100 adapters and the given sidecars. Its model versions differ at each call. */
 export function documentText(
   service: string,
   region: string,
   sidecarAddresses: readonly string[],
 ): string {
-  edition += 1;
+  documentNumber += 1;
   const models = Array.from({ length: MODEL_COUNT }, (_, index) => ({
     id: `${service}-model-${index}`,
-    version: `v${edition}`,
+    version: `v${documentNumber}`,
     sizeBytes: (index + 1) * GIGABYTE,
     defaultKind: 'draft',
   }));
--- a/bench/mesh/meter.ts
+++ b/bench/mesh/measureusage.ts
@@ -5,25 +5,28 @@
 const MICROS_PER_MS = 1000;
 const PERCENT = 100;
 
-interface Spent {
+interface ResourceUsage {
   readonly meanSentBytesPerSecond: number;
   readonly maxSentBytesPerSecond: number;
   readonly meanReceivedBytesPerSecond: number;
   readonly maxReceivedBytesPerSecond: number;
-  /** Of one core, with a share of the stand-in store and of the benchmark itself. */
+  /** Percentage of one CPU core, including a share of the stand-in store and of the benchmark itself. */
   readonly cpuPercentPerNode: number;
   readonly seconds: number;
 }
 
-/** What the nodes of a cluster spend while something runs. */
-export async function meter(cluster: Cluster, act: () => Promise<void>): Promise<Spent> {
+/** Measures the resource usage of a cluster's nodes while `act` runs. */
+export async function measureUsage(
+  cluster: Cluster,
+  act: () => Promise<void>,
+): Promise<ResourceUsage> {
   const ids = cluster.live().map(({ id }) => id);
   const before = traffic.read(ids);
   const cpu = process.cpuUsage();
   const startMs = performance.now();
   await act();
   const elapsedMs = performance.now() - startMs;
-  const used = process.cpuUsage(cpu);
+  const cpuUsage = process.cpuUsage(cpu);
   const after = traffic.read(ids);
   const rates = (side: 'sentBytes' | 'receivedBytes') =>
     ids.map((id) => {
@@ -34,7 +37,7 @@
   const received = rates('receivedBytes');
   const mean = (values: readonly number[]) =>
     Math.round(values.reduce((sum, value) => sum + value, 0) / values.length);
-  const cpuMs = (used.user + used.system) / MICROS_PER_MS;
+  const cpuMs = (cpuUsage.user + cpuUsage.system) / MICROS_PER_MS;
   return {
     meanSentBytesPerSecond: mean(sent),
     maxSentBytesPerSecond: Math.round(Math.max(...sent)),
--- a/bench/mesh/summary.ts
+++ b/bench/mesh/summary.ts
@@ -1,6 +1,6 @@
 const ROUND = 10;
 
-/** Median, 99th percentile and worst of some times in ms, rounded to a tenth. */
+/** Returns the median, 99th percentile and maximum of times in milliseconds, rounded to 0.1 ms. */
 export function summary(times: readonly number[]): {
   readonly count: number;
   readonly p50Ms: number;
--- a/bench/mesh/traffic.ts
+++ b/bench/mesh/traffic.ts
@@ -2,7 +2,7 @@
 import { subscribe } from 'node:diagnostics_channel';
 import type { Socket } from 'node:net';
 
-/** Bytes that one node has sent and received. */
+/** Bytes that a node has sent and received. */
 interface NodeBytes {
   readonly sentBytes: number;
   readonly receivedBytes: number;
@@ -12,50 +12,50 @@
 const sockets = new Map<string, Set<Socket>>();
 const closed = new Map<string, { sentBytes: number; receivedBytes: number }>();
 
-function bytesOf(node: string): { sentBytes: number; receivedBytes: number } {
+function closedSocketBytes(node: string): { sentBytes: number; receivedBytes: number } {
   const bytes = closed.get(node) ?? { sentBytes: 0, receivedBytes: 0 };
   closed.set(node, bytes);
   return bytes;
 }
 
-function own(node: string, socket: Socket): void {
-  const all = sockets.get(node) ?? new Set();
-  sockets.set(node, all.add(socket));
+function trackSocket(node: string, socket: Socket): void {
+  const open = sockets.get(node) ?? new Set();
+  sockets.set(node, open.add(socket));
   socket.once('close', () => {
-    const bytes = bytesOf(node);
+    const bytes = closedSocketBytes(node);
     bytes.sentBytes += socket.bytesWritten;
     bytes.receivedBytes += socket.bytesRead;
-    all.delete(socket);
+    open.delete(socket);
   });
 }
 
 subscribe('net.client.socket', (message) => {
   const node = running.getStore();
-  if (node) own(node, (message as { socket: Socket }).socket);
+  if (node) trackSocket(node, (message as { socket: Socket }).socket);
 });
 
 subscribe('net.server.socket', (message) => {
   const node = running.getStore();
-  if (node) own(node, (message as { socket: Socket }).socket);
+  if (node) trackSocket(node, (message as { socket: Socket }).socket);
 });
 
-/** Counts what crosses the sockets of each node of a benchmark, where nodes share a process. */
+/** Counts the bytes on the sockets of each node when several nodes share a process. */
 export const traffic = {
-  /** Runs something for a node: the sockets that it opens or accepts from now on are the node's. */
+  /** Runs `act` on behalf of a node. Sockets that it opens or accepts, also later, are counted for the node. */
   run<Value>(node: string, act: () => Value): Value {
     return running.run(node, act);
   },
 
   read(nodes: readonly string[]): ReadonlyMap<string, NodeBytes> {
-    const found = new Map<string, NodeBytes>();
+    const bytesByNode = new Map<string, NodeBytes>();
     for (const node of nodes) {
-      let { sentBytes, receivedBytes } = bytesOf(node);
+      let { sentBytes, receivedBytes } = closedSocketBytes(node);
       for (const socket of sockets.get(node) ?? []) {
         sentBytes += socket.bytesWritten;
         receivedBytes += socket.bytesRead;
       }
-      found.set(node, { sentBytes, receivedBytes });
+      bytesByNode.set(node, { sentBytes, receivedBytes });
     }
-    return found;
+    return bytesByNode;
   },
 };
--- a/bench/meshcost.ts
+++ b/bench/meshcost.ts
@@ -4,15 +4,15 @@
 import type { BoardRecord } from '../src/shell/board/index.js';
 import { UpstreamRecord } from '../src/wire/index.js';
 import { Cluster } from './mesh/cluster.js';
-import { meter } from './mesh/meter.js';
+import { measureUsage } from './mesh/measureusage.js';
 
 const PHASE_MS = 8000;
-/** 54,000 changes a day. */
+/** Interval of 54,000 changes per day. */
 const CHANGE_INTERVAL_MS = 1600;
-/** A region at the letter's size, and parts of it for the slopes. */
+/** Upstreams of a region of full size, and a quarter and half of them to show how cost scales. */
 const UPSTREAM_COUNTS = [273, 546, 1091];
 const REGION_ENTRIES = 47;
-/** How often the record of one upstream changes. */
+/** Interval between changes of one upstream's record. */
 const RECORD_INTERVAL_MS = 60_000;
 const BURST_MS = 100;
 const RESIDENT_COUNT = 5;
@@ -53,19 +53,19 @@
   return { key, epoch: 7, sequence, value: Buffer.from(value) };
 }
 
-const collect = (() => {
+const collectGarbage = (() => {
   setFlagsFromString('--expose-gc');
   return runInNewContext('gc') as () => void;
 })();
 
-/** Heap in use after a garbage collection, with buffers outside it. */
+/** Returns the heap in use after a garbage collection, plus array buffers outside the heap. */
 function liveHeapBytes(): number {
-  collect();
+  collectGarbage();
   const { heapUsed, arrayBuffers } = process.memoryUsage();
   return heapUsed + arrayBuffers;
 }
 
-async function forPhase(act: (elapsedMs: number) => Promise<void>): Promise<void> {
+async function repeatForPhase(act: (elapsedMs: number) => Promise<void>): Promise<void> {
   const startMs = performance.now();
   while (performance.now() - startMs < PHASE_MS) await act(performance.now() - startMs);
 }
@@ -73,9 +73,9 @@
 async function documents(): Promise<object> {
   const cluster = await Cluster.start({ entryCount: 48, sidecarCount: 16 });
   await cluster.pause(2000);
-  const idle = await meter(cluster, () => cluster.pause(PHASE_MS));
-  const changing = await meter(cluster, () =>
-    forPhase(async () => {
+  const idle = await measureUsage(cluster, () => cluster.pause(PHASE_MS));
+  const changing = await measureUsage(cluster, () =>
+    repeatForPhase(async () => {
       await cluster.write();
       await cluster.pause(CHANGE_INTERVAL_MS);
     }),
@@ -84,7 +84,7 @@
   return { nodeCount: 64, idle, changing };
 }
 
-/** One relay, while the documents of all regions change in turn at the rate of the whole plan. */
+/** Measures a single relay while the documents of all regions change in turn at the total change rate. */
 async function regions(): Promise<object> {
   const cluster = await Cluster.start({ entryCount: 1 });
   const names = [OWN_REGION, ...Array.from({ length: OTHER_REGIONS }, (_, at) => `region-${at}`)];
@@ -94,45 +94,46 @@
   const valueBytes = Buffer.byteLength(
     model.list(serviceKey.under(OWN_REGION)).items[0]?.value ?? '',
   );
-  const spent = await meter(cluster, async () => {
+  const usage = await measureUsage(cluster, async () => {
     for (const name of names) {
       await cluster.write(name);
       await cluster.pause(CHANGE_INTERVAL_MS);
     }
   });
   await cluster.close();
-  return { regionCount: names.length, valueBytes, ...spent };
+  return { regionCount: names.length, valueBytes, ...usage };
 }
 
-/** Every upstream's record changes once a minute; each entry is told of its share of them. */
+/** Measures entries while every upstream's record changes once a minute. Each entry publishes a share of them. */
 async function upstreams(count: number): Promise<object> {
   const cluster = await Cluster.start({ entryCount: REGION_ENTRIES });
   const heapBytes = liveHeapBytes();
   for (let index = 0; index < count; index += 1) cluster.publish(recordOf(index, 1), index);
-  const full = () => cluster.live().every(({ board }) => board.status().recordCount > count);
-  const spreadToAll = await cluster.until(full, 20_000);
-  const grownBytes = liveHeapBytes() - heapBytes;
+  const hasAllRecords = () =>
+    cluster.live().every(({ board }) => board.status().recordCount > count);
+  const spreadToAll = await cluster.waitUntil(hasAllRecords, 20_000);
+  const heapGrowthBytes = liveHeapBytes() - heapBytes;
   let next = 0;
-  const spent = await meter(cluster, () =>
-    forPhase(async (elapsedMs) => {
+  const usage = await measureUsage(cluster, () =>
+    repeatForPhase(async (elapsedMs) => {
       const due = (elapsedMs / RECORD_INTERVAL_MS) * count;
       for (; next < due; next += 1) cluster.publish(recordOf(next % count, 2 + next), next);
       await cluster.pause(BURST_MS);
     }),
   );
   await cluster.close();
-  const heapBytesPerRecord = Math.round(grownBytes / count / REGION_ENTRIES);
+  const heapBytesPerRecord = Math.round(heapGrowthBytes / count / REGION_ENTRIES);
   const recordBytes = recordOf(0, 1).value.length;
-  return { upstreamCount: count, spreadToAll, recordBytes, heapBytesPerRecord, ...spent };
+  return { upstreamCount: count, spreadToAll, recordBytes, heapBytesPerRecord, ...usage };
 }
 
 /**
- * Bytes, processor time and memory that the dissemination takes from each node. The argument `regions`
- * measures only what a relay hears of the store.
+ * Measures the bytes, CPU time and memory that the mesh uses on each node. With the argument `regions`, measures only
+ * what a relay receives from the store.
  */
-export async function meshCost([only]: readonly string[] = []): Promise<object> {
+export async function meshCost([scope]: readonly string[] = []): Promise<object> {
   const ofRegions = await regions();
-  if (only === 'regions') return { changeIntervalMs: CHANGE_INTERVAL_MS, ofRegions };
+  if (scope === 'regions') return { changeIntervalMs: CHANGE_INTERVAL_MS, ofRegions };
   const ofDocuments = await documents();
   const ofUpstreams: object[] = [];
   for (const count of UPSTREAM_COUNTS) ofUpstreams.push(await upstreams(count));
--- a/bench/meshfanout.ts
+++ b/bench/meshfanout.ts
@@ -7,17 +7,17 @@
 const SIDECAR_COUNT = 16;
 const NODE_COUNT = ENTRY_COUNT + SIDECAR_COUNT;
 const CHANGE_COUNT = 25;
-const STOPPED_COUNT = 5;
+const FROZEN_CHANGE_COUNT = 5;
 const GAP_MS = 40;
-/** Pulls are nearly off, so that the fan-out alone is seen. */
-const RARELY_MS = 3_600_000;
-/** Time after which a node that the fan-out has missed counts as missed. */
-const LIMIT_MS = 2000;
-/** Every node has read the whole host list after this. */
-const LISTED_MS = 1500;
+/** A pull interval of one hour in effect turns pulls off, so that only the fan-out is measured. */
+const PULLS_OFF_INTERVAL_MS = 3_600_000;
+/** A node without the change after this time counts as missed by the fan-out. */
+const MISSED_AFTER_MS = 2000;
+/** Time after which every node has read the complete host list. */
+const HOST_LIST_READ_MS = 1500;
 
-/** The first place after the two relays: the root's child in every shape but the ring. */
-const MIDDLE = 2;
+/** Index of the first node after the two relays. It is a child of the root in every shape except the ring. */
+const FIRST_CHILD_INDEX = 2;
 
 const SHAPES: Readonly<Record<string, number>> = {
   star: NODE_COUNT,
@@ -32,19 +32,19 @@
   for (let index = 0; index < count; index += 1) {
     const startMs = performance.now();
     const revision = await cluster.write();
-    times.push(await cluster.spread(revision, startMs, LIMIT_MS));
+    times.push(await cluster.propagationTimes(revision, startMs, MISSED_AFTER_MS));
     await cluster.pause(GAP_MS);
   }
   return times;
 }
 
 function report(times: readonly (readonly number[])[]): object {
-  const missed = times.flat().filter((ms) => ms >= LIMIT_MS).length;
-  const all = times.map((each) => Math.max(...each));
-  return { toEachNode: summary(times.flat()), toAllNodes: summary(all), missed };
+  const missed = times.flat().filter((ms) => ms >= MISSED_AFTER_MS).length;
+  const slowest = times.map((perNode) => Math.max(...perNode));
+  return { toEachNode: summary(times.flat()), toAllNodes: summary(slowest), missed };
 }
 
-function bytesOfChange(cluster: Cluster, before: ReturnType<typeof traffic.read>): object {
+function bytesPerChange(cluster: Cluster, before: ReturnType<typeof traffic.read>): object {
   const ids = cluster.live().map(({ id }) => id);
   const after = traffic.read(ids);
   const sent = ids.map((id) => (after.get(id)?.sentBytes ?? 0) - (before.get(id)?.sentBytes ?? 0));
@@ -55,34 +55,34 @@
   };
 }
 
-/** A node in the middle of the fan-out stops answering; its connections stay open. */
-async function stopOne(cluster: Cluster): Promise<object> {
-  const middle = cluster.fanOutOrder()[MIDDLE];
-  if (!middle) return {};
-  const thaw = cluster.freeze(middle.id);
-  const times = await changes(cluster, STOPPED_COUNT);
-  thaw();
+/** Measures changes while a node in the middle of the fan-out does not answer; its connections stay open. */
+async function measureWithFrozenNode(cluster: Cluster): Promise<object> {
+  const child = cluster.fanOutOrder()[FIRST_CHILD_INDEX];
+  if (!child) return {};
+  const unfreeze = cluster.freeze(child.id);
+  const times = await changes(cluster, FROZEN_CHANGE_COUNT);
+  unfreeze();
   return report(times);
 }
 
 async function measure(degree: number): Promise<object> {
-  const tuning: Partial<MeshOptions> = { degree, pullIntervalMs: RARELY_MS };
+  const tuning: Partial<MeshOptions> = { degree, pullIntervalMs: PULLS_OFF_INTERVAL_MS };
   const cluster = await Cluster.start({
     entryCount: ENTRY_COUNT,
     sidecarCount: SIDECAR_COUNT,
     tuning,
   });
-  await cluster.pause(LISTED_MS);
+  await cluster.pause(HOST_LIST_READ_MS);
   await changes(cluster, 3);
   const before = traffic.read(cluster.live().map(({ id }) => id));
   const times = await changes(cluster, CHANGE_COUNT);
-  const bytes = bytesOfChange(cluster, before);
-  const stopped = await stopOne(cluster);
+  const bytes = bytesPerChange(cluster, before);
+  const stopped = await measureWithFrozenNode(cluster);
   await cluster.close();
   return { degree, ...bytes, ...report(times), oneStopped: stopped };
 }
 
-/** Star, trees and ring as ways of fan-out, in one run over the same nodes and documents. */
+/** Compares star, tree and ring fan-outs in one run, with the same nodes and documents. */
 export async function meshFanout(): Promise<object> {
   const shapes: Record<string, object> = {};
   for (const [name, degree] of Object.entries(SHAPES)) shapes[name] = await measure(degree);
--- a/bench/meshstorecalls.ts
+++ b/bench/meshstorecalls.ts
@@ -3,12 +3,12 @@
 const NODE_COUNTS = [8, 16, 32, 64];
 const SETTLE_MS = 1500;
 const MEASURED_MS = 10_000;
-/** 54,000 changes a day. */
+/** Interval of 54,000 changes per day. */
 const CHANGE_INTERVAL_MS = 1600;
 const SECOND_MS = 1000;
 const HUNDREDTHS = 100;
 
-async function callsAt(nodeCount: number): Promise<object> {
+async function measure(nodeCount: number): Promise<object> {
   const cluster = await Cluster.start({ entryCount: nodeCount });
   await cluster.pause(SETTLE_MS);
   const { taken } = cluster.store.meter;
@@ -25,9 +25,9 @@
   return { nodeCount, readsPerSecond, readsAtStart: before, watches };
 }
 
-/** Calls to the store against the size of the fleet, at 54,000 changes a day. */
+/** Measures store calls by fleet size at 54,000 changes per day. */
 export async function meshStoreCalls(): Promise<object> {
   const fleets: object[] = [];
-  for (const nodeCount of NODE_COUNTS) fleets.push(await callsAt(nodeCount));
+  for (const nodeCount of NODE_COUNTS) fleets.push(await measure(nodeCount));
   return { changeIntervalMs: CHANGE_INTERVAL_MS, measuredMs: MEASURED_MS, fleets };
 }
--- a/bench/table.ts
+++ b/bench/table.ts
@@ -1,6 +1,6 @@
 import type { Bench } from './bench.js';
 
-/** Every benchmark by its name: `npm run bench -- NAME`. */
+/** All benchmarks by name, loaded on demand: `npm run bench -- NAME`. */
 export const table: Readonly<Record<string, () => Promise<Bench>>> = {
   'planner-cost': async () => (await import('./plannercost.js')).plannerCost,
   'kill-rounds': async () => (await import('./killrounds.js')).killRounds,
--- a/test/ledgercheck.test.ts
+++ b/test/ledgercheck.test.ts
@@ -1,25 +1,25 @@
 import test from 'ava';
-import { check } from '../bench/ledgercheck/check.js';
+import { checkLedger } from '../bench/ledgercheck/checkledger.js';
 import { mutations } from '../bench/ledgercheck/mutations.js';
 
 const SEED = 7;
-const LENGTH = 120;
+const ACTION_COUNT = 120;
 
 for (const checksFencing of [true, false]) {
   const kind = checksFencing ? 'checks' : 'ignores';
 
-  test(`3,000 interleavings overcommit no engine that ${kind} fencing tokens`, (t) => {
-    const found = check({ checksFencing, runs: 3000, seed: SEED, length: LENGTH });
+  test(`3,000 interleavings never overcommit the memory of an engine that ${kind} fencing tokens`, (t) => {
+    const found = checkLedger({ checksFencing, runs: 3000, seed: SEED, length: ACTION_COUNT });
     t.is(found.counterexample, undefined);
-    t.true(found.loads > 3000, 'the runs do load models');
+    t.true(found.loads > 3000, 'the runs load models');
   });
 
   for (const { name, wrong, isRare, ...mutation } of mutations) {
     if (isRare || !mutation.checksFencing.includes(checksFencing)) continue;
     const { fence, residency } = mutation;
-    test(`the check fails at an engine that ${kind} when ${wrong} (${name})`, (t) => {
-      const options = { checksFencing, runs: 10_000, seed: SEED, length: LENGTH };
-      t.truthy(check({ ...options, fence, residency }).counterexample);
+    test(`with an engine that ${kind} fencing tokens, the check finds a violation when ${wrong} (${name})`, (t) => {
+      const options = { checksFencing, runs: 10_000, seed: SEED, length: ACTION_COUNT };
+      t.truthy(checkLedger({ ...options, fence, residency }).counterexample);
     });
   }
 }
