--- a/src/core/residency/onpin.ts
+++ b/src/core/residency/onpin.ts
@@ -97,7 +97,7 @@
     state,
     effects: [{ type: 'refused', failure }],
   });
-  if (state.isLeaving) return refuse(fail('upstream-leaving', 'This upstream is draining.'));
+  if (state.isLeaving) return refuse(fail('upstream-leaving', 'Upstream is draining.'));
   // The successor does not know the pins of this sidecar and may unload what they protect.
   if (state.isSuperseded) return refuse(superseded());
   // An engine without reports decides itself what it can serve.
--- a/src/core/residency/onrescue.ts
+++ b/src/core/residency/onrescue.ts
@@ -21,7 +21,7 @@
 }
 
 function orderingFailure(state: ResidencyState): ResidencyFailure | undefined {
-  if (state.isLeaving) return fail('upstream-leaving', 'This upstream is draining.');
+  if (state.isLeaving) return fail('upstream-leaving', 'Upstream is draining.');
   if (state.isSuperseded) {
     return superseded();
   }
--- a/src/core/ticket/adopt.ts
+++ b/src/core/ticket/adopt.ts
@@ -42,7 +42,7 @@
   nowMs: Ms,
 ): Transition<TableState, TableEffect> {
   if (given.leaving) {
-    const refusal = refuse('upstream-leaving', 'This upstream is draining.');
+    const refusal = refuse('upstream-leaving', 'Upstream is draining.');
     return { state: given, effects: [{ type: 'refuse', callId, refusal }] };
   }
   let { state } = sweep(given, nowMs);
--- a/src/core/ticket/issue.ts
+++ b/src/core/ticket/issue.ts
@@ -30,8 +30,7 @@
   { callId, customer, service, validMs, secret }: Issue,
   nowMs: Ms,
 ): Transition<TableState, TableEffect> {
-  if (given.leaving)
-    return refused(given, callId, 'upstream-leaving', 'This upstream is draining.', 0);
+  if (given.leaving) return refused(given, callId, 'upstream-leaving', 'Upstream is draining.', 0);
   const { maxValidMs, tableBytes } = given.limits;
   const validityMs = validMs > 0 ? Math.min(validMs, maxValidMs) : maxValidMs;
   const row: TicketRow = {
--- a/src/entry/requestrun.ts
+++ b/src/entry/requestrun.ts
@@ -90,7 +90,7 @@
       const bound = prepared.binding.type === 'bound';
       const { repeatable } = prepared.head;
       const { deadlineAtMs } = prepared;
-      const change = startAttempt({ repeatable, bound: bound, deadlineAtMs }, nowMs);
+      const change = startAttempt({ repeatable, bound, deadlineAtMs }, nowMs);
       this.state = change.state;
       this.perform(change.effects);
     });
--- a/src/sidecar/requestrunner.ts
+++ b/src/sidecar/requestrunner.ts
@@ -25,7 +25,7 @@
   async run(requestId: string, head: RequestHead, sink: AnswerSink): Promise<void> {
     // A request with a ticket may have run before: the run-once table answers it. It accepts nothing new either.
     if (this.leaving && !head.ticket) {
-      const value = refuse('upstream-leaving', 'This upstream is draining.');
+      const value = refuse('upstream-leaving', 'Upstream is draining.');
       sink.send({ $case: 'refusal', value });
       return;
     }
