--- a/bench/admissioncost.ts
+++ b/bench/admissioncost.ts
@@ -3,8 +3,8 @@
 import { reenvio } from './experiment/index.js';
 
 const QUEUE_LENGTHS = [10, 100, 1000, 10_000];
-const CUSTOMERS = [10, 1000];
-const TURNS = 30_000;
+const CUSTOMER_COUNTS = [10, 1000];
+const ROUNDS = 30_000;
 const SLOTS = 16;
 
 const { kinds } = reenvio.document;
@@ -17,7 +17,7 @@
   queueLimit: 1e9,
 };
 
-/** Keeps so many waiting, of so many customers: each turn offers one request and ends one. */
+/** Keeps `queueLength` requests of `customerCount` customers waiting; each round offers one request and ends one. */
 function measure(queueLength: number, customerCount: number) {
   const customers = Array.from({ length: customerCount }, (_, index) => ({
     id: `customer-${index}` as Customer['id'],
@@ -40,15 +40,15 @@
     admission(state, { type: 'offered', offer: offered }, nowMs);
   };
   for (let index = 0; index < queueLength + SLOTS; index += 1) offer(0);
-  const begunAt = process.cpuUsage();
-  for (let turn = 1; turn <= TURNS; turn += 1) {
-    offer(turn);
+  const cpuAtStart = process.cpuUsage();
+  for (let round = 1; round <= ROUNDS; round += 1) {
+    offer(round);
     const [requestId = ''] = state.running.keys();
-    admission(state, { type: 'answering', requestId }, turn);
-    admission(state, { type: 'released', requestId, outcome: 'answered', tokenCount: 10 }, turn);
+    admission(state, { type: 'answering', requestId }, round);
+    admission(state, { type: 'released', requestId, outcome: 'answered', tokenCount: 10 }, round);
   }
-  const { user, system } = process.cpuUsage(begunAt);
-  const perRequestUs = (user + system) / TURNS;
+  const { user, system } = process.cpuUsage(cpuAtStart);
+  const perRequestUs = (user + system) / ROUNDS;
   return {
     queueLength: state.waiting.size,
     customerCount,
@@ -57,10 +57,10 @@
   };
 }
 
-/** CPU that the admission core takes for one request (offer, first token, end), by length of the queue. */
+/** Measures the admission core's CPU time per request (offer, first token, end) by queue length. */
 export async function admissionCost(): Promise<object> {
   measure(100, 10);
-  const rows = CUSTOMERS.flatMap((customers) =>
+  const rows = CUSTOMER_COUNTS.flatMap((customers) =>
     QUEUE_LENGTHS.map((queueLength) => measure(queueLength, customers)),
   );
   return Promise.resolve({ rows });
--- a/bench/allocationcost.ts
+++ b/bench/allocationcost.ts
@@ -10,11 +10,11 @@
   { engines: 1000, models: 1200 },
 ];
 const ROUNDS = 5;
-const PLACES = 3;
-/** Models that take most of the requests, and which part of the engines holds the first of them. */
-const BUSY = 4;
-const FIRST_SHARE = 0.3;
-const MB = 70_000;
+const MODELS_PER_ENGINE = 3;
+/** Number of models that take most of the requests, and the fraction of engines that hold the first of them. */
+const BUSY_MODELS = 4;
+const FIRST_MODEL_SHARE = 0.3;
+const MODEL_MB = 70_000;
 
 function modelsOf(
   count: number,
@@ -26,19 +26,21 @@
     Array.from({ length: count }, (_, at) => {
       const id = `m${at}` as ModelId;
       const times = { loadMs: 5800, diskLoadMs: 1300, warmLoadMs: 900 };
-      return [id, { id, sizeMb: MB, adapterCount: 0, adapterSizeMb: 0, ...times }];
+      return [id, { id, sizeMb: MODEL_MB, adapterCount: 0, adapterSizeMb: 0, ...times }];
     }),
   );
 }
 
-/** Engines with busy models on some and rare ones on the rest, after demand has moved on to the next four. */
+/** Engines that hold busy and rare models, after demand has shifted to the next four models. */
 function inputOf(engines: number, count: number): PlanInput {
   const models = modelsOf(count);
   const names = [...models.keys()];
   const upstreams = Array.from({ length: engines }, (_, at) => {
-    const busy = names[at < engines * FIRST_SHARE ? 0 : at % BUSY]!;
-    const rare = [at * 2, at * 2 + 1].map((one) => names[BUSY + (one % (count - BUSY))]!);
-    const held = [...new Set([busy, ...rare])].slice(0, PLACES);
+    const busy = names[at < engines * FIRST_MODEL_SHARE ? 0 : at % BUSY_MODELS]!;
+    const rare = [at * 2, at * 2 + 1].map(
+      (index) => names[BUSY_MODELS + (index % (count - BUSY_MODELS))]!,
+    );
+    const held = [...new Set([busy, ...rare])].slice(0, MODELS_PER_ENGINE);
     const placed = held.map((model) => ({
       model,
       phase: 'ready' as const,
@@ -52,7 +54,7 @@
   const quiet = { waiting: 0, missed: 0, adaptersInUse: 0, absentMs: 0, idleMs: 500 };
   const demand = new Map(
     names.map((model, at) => {
-      const isBusy = at >= BUSY && at < BUSY * 2;
+      const isBusy = at >= BUSY_MODELS && at < BUSY_MODELS * 2;
       const perSecond = isBusy ? engines * 2 : 0.2;
       return [model, { ...quiet, perSecond, concurrency: perSecond * 0.7 }];
     }),
@@ -68,7 +70,7 @@
   };
 }
 
-/** Work of one plan of places, by engines and models: the first, whose code is not compiled yet, and the best of five. */
+/** Measures an allocation plan by engines and models: the first run, with uncompiled code, and the best of five. */
 export const allocationCost: Bench = () => {
   const table: Record<string, object> = {};
   for (const { engines, models } of SIZES) {
--- a/bench/experiment/agency.ts
+++ b/bench/experiment/agency.ts
@@ -1,6 +1,6 @@
 import { makeDeployment } from './makedeployment.js';
 
-/** The Agency at today's size: notes, catalogue codes, register lookups, transfer confirmations. */
+/** The Agency at its present size: notes, catalogue codes, register lookups and transfer confirmations. */
 export const agency = makeDeployment({
   name: 'agency',
   region: 'bucuresti',
@@ -23,7 +23,7 @@
       deadlineMs: 1400,
       weight: 2,
       repeatable: true,
-      part: 0.5,
+      fraction: 0.5,
       promptTokens: 400,
       outputTokens: 12,
       serviceMs: 0,
@@ -34,7 +34,7 @@
       deadlineMs: 5000,
       weight: 4,
       repeatable: true,
-      part: 0.46,
+      fraction: 0.46,
       promptTokens: 800,
       outputTokens: 200,
       serviceMs: 0,
@@ -46,7 +46,7 @@
       weight: 6,
       repeatable: true,
       longJob: true,
-      part: 0.04,
+      fraction: 0.04,
       promptTokens: 2500,
       outputTokens: 1500,
       serviceMs: 0,
@@ -57,7 +57,7 @@
       deadlineMs: 500,
       weight: 1,
       repeatable: true,
-      part: 0.8,
+      fraction: 0.8,
       promptTokens: 0,
       outputTokens: 0,
       serviceMs: 100,
@@ -68,7 +68,7 @@
       deadlineMs: 1500,
       weight: 4,
       repeatable: false,
-      part: 0.2,
+      fraction: 0.2,
       promptTokens: 0,
       outputTokens: 0,
       serviceMs: 150,
--- a/bench/experiment/baseline/fifo.ts
+++ b/bench/experiment/baseline/fifo.ts
@@ -6,13 +6,13 @@
   readonly deadlineAtMs: number;
 }
 
-/** How a first-in first-out queue treats what waits. */
+/** Options of the first-in first-out queue. */
 export interface FifoOptions {
-  /** Refuse a request at the head whose deadline has passed, and bound the queue as declared. */
+  /** Refuses a request at the head whose deadline has passed, and enforces the declared queue limit. */
   readonly expires: boolean;
 }
 
-/** First in, first out, with a fixed number of slots. */
+/** First-in first-out queue with a fixed number of slots. */
 export function fifo({ expires }: FifoOptions): MakeQueue {
   return ({ slots, queueLimit }) => {
     const waiting: Waiting[] = [];
--- a/bench/experiment/baseline/leastconnections.ts
+++ b/bench/experiment/baseline/leastconnections.ts
@@ -1,6 +1,6 @@
 import type { Candidate, MakeRoute } from '../routepolicy.js';
 
-/** The upstream where this entry has the fewest requests in flight. */
+/** Chooses the upstream with the fewest requests in flight from this entry. */
 export const leastConnections: MakeRoute = () => {
   const inFlight = new Map<number, number>();
   const count = (index: number, change: number) =>
--- a/bench/experiment/baseline/loadondemand.ts
+++ b/bench/experiment/baseline/loadondemand.ts
@@ -7,7 +7,7 @@
 import { pack } from './pack.js';
 import { popularityOf } from '../popularity.js';
 
-/** Models to evict so that so many bytes fit, least recently used first; none if it cannot be. */
+/** Returns the models to evict so that `sizeBytes` fit, least recently used first; undefined if they cannot fit. */
 function evictions(upstream: UpstreamView, sizeBytes: number): readonly string[] | undefined {
   const evicted: string[] = [];
   let { freeBytes } = upstream;
@@ -22,7 +22,7 @@
   return freeBytes >= sizeBytes ? evicted : undefined;
 }
 
-/** Loads one more copy where least runs, for which the least recently used models go. */
+/** Loads one more replica on the least loaded upstream and evicts its least recently used idle models as needed. */
 function loadWhereIdle(
   model: string,
   sizeBytes: number,
@@ -51,8 +51,8 @@
 }
 
 /**
- * Loads a model when a request finds it nowhere, or when all that hold it have refused one; evicts the
- * least recently used.
+ * Loads a model when a request finds it in no upstream's memory, or when all upstreams that hold it have
+ * refused a request. Evicts the least recently used models.
  */
 export const loadOnDemand: MakePlacement = (deployment, seed) => {
   const sizes = new Map<string, number>(
--- a/bench/experiment/baseline/pack.ts
+++ b/bench/experiment/baseline/pack.ts
@@ -20,10 +20,12 @@
   let best: Bin | undefined;
   for (const bin of bins) {
     if (bin.models.has(model) || bin.freeBytes < sizeBytes) continue;
-    const fresh = !zones.has(bin.availabilityZone);
-    const bestFresh = best && !zones.has(best.availabilityZone);
+    const isNewZone = !zones.has(bin.availabilityZone);
+    const isBestNewZone = best && !zones.has(best.availabilityZone);
     const better =
-      !best || (fresh && !bestFresh) || (fresh === bestFresh && bin.demand < best.demand);
+      !best ||
+      (isNewZone && !isBestNewZone) ||
+      (isNewZone === isBestNewZone && bin.demand < best.demand);
     if (better) best = bin;
   }
   if (!best) return undefined;
@@ -34,8 +36,8 @@
 }
 
 /**
- * Packs every model once, the largest first, then fills the memory with further replicas of the models
- * that are asked for most on the whole: as good as a placement can be that never moves.
+ * Packs every model once, the largest first, then fills the remaining memory with replicas of the models
+ * with the highest mean demand. A good placement for a run in which nothing moves.
  */
 export function pack(
   { document }: Deployment,
--- a/bench/experiment/baseline/roundrobin.ts
+++ b/bench/experiment/baseline/roundrobin.ts
@@ -1,14 +1,14 @@
 import type { MakeRoute } from '../routepolicy.js';
 
-/** Each model's upstreams in turn. */
+/** Chooses the ready upstreams of each model in rotation. */
 export const roundRobin: MakeRoute = ({ entry }) => {
-  const turns = new Map<string, number>();
+  const nextIndexes = new Map<string, number>();
   return {
     choose(ask, candidates) {
       const ready = candidates.filter(({ phase }) => phase === 'ready');
-      const turn = turns.get(ask.model) ?? entry;
-      turns.set(ask.model, turn + 1);
-      return ready[turn % Math.max(1, ready.length)];
+      const nextIndex = nextIndexes.get(ask.model) ?? entry;
+      nextIndexes.set(ask.model, nextIndex + 1);
+      return ready[nextIndex % Math.max(1, ready.length)];
     },
     learn() {},
   };
--- a/bench/experiment/baselines.ts
+++ b/bench/experiment/baselines.ts
@@ -31,7 +31,7 @@
   ),
 );
 
-/** Every combination of the simple policies, and one with fewer slots that holds the token pace. */
+/** All combinations of the simple policies, and one with fewer slots that keeps the token pace. */
 export const baselines: readonly PolicySet[] = [
   ...COMBINATIONS,
   {
--- a/bench/experiment/coreplacement.ts
+++ b/bench/experiment/coreplacement.ts
@@ -21,21 +21,21 @@
 import { popularityOf } from './popularity.js';
 
 const INTERVAL_MS = 2_000;
-/** Time for which a model is in memory before it makes way for one that is nowhere. */
-const SHARE_MS = 20_000;
-/** Upstreams that an entry asks before it gives up. */
-const RESCUE_ASKS = 4;
+/** Minimum time in memory before a model's last replica may be evicted for a model that is in no memory. */
+const MIN_RESIDENCE_MS = 20_000;
+/** Upstreams that an entry tries for an on-demand load. */
+const MAX_RESCUE_CANDIDATES = 4;
 
-/** What a run of the planner varies. */
+/** Variants of the planner. */
 export interface CorePlacementOptions {
-  /** The document's if left out. */
+  /** The document's value by default. */
   readonly movePenalty?: number;
   readonly spares?: PlanInput['spares'];
   readonly forecaster?: Forecaster<object>;
 }
 
-/** Whether a model has been in an upstream's memory long enough to make way. */
-type IsShared = (upstream: UpstreamView, model: string) => boolean;
+/** True if a model has been in an upstream's memory long enough to be evicted. */
+type IsEvictable = (upstream: UpstreamView, model: string) => boolean;
 
 type Place = Extract<PlannerEffect, { type: 'place' }>;
 
@@ -71,7 +71,7 @@
   return { type: 'unload', index, model, urgency: 0 };
 }
 
-function isElsewhere(view: ClusterView, index: number, model: string): boolean {
+function isReadyElsewhere(view: ClusterView, index: number, model: string): boolean {
   return view.upstreams.some(
     (other) =>
       other.alive &&
@@ -80,12 +80,12 @@
   );
 }
 
-function loadOf(index: number, model: string, urgency: number): PlacementOrder {
+function load(index: number, model: string, urgency: number): PlacementOrder {
   return { type: 'load', index, model, urgency };
 }
 
-/** Carries an upstream's part of the plan out, as its sidecar would: room is made only when needed. */
-function carryOut(
+/** Returns the orders for an upstream's part of the plan. Like a sidecar, evicts only when memory is needed. */
+function ordersFor(
   place: Place,
   upstream: UpstreamView,
   sizes: ReadonlyMap<string, number>,
@@ -109,25 +109,25 @@
     }
     if (freeBytes < sizeBytes) continue;
     freeBytes -= sizeBytes;
-    orders.push(loadOf(index, model, urgency));
+    orders.push(load(index, model, urgency));
   }
   return orders;
 }
 
-/** What a sidecar gives up for a rescue: replicas first, then what has been idle long enough. */
+/** Returns the models to evict for an on-demand load: those ready elsewhere first, then those resident long enough. */
 function evictions(
   upstream: UpstreamView,
   view: ClusterView,
   sizeBytes: number,
-  sharing: boolean,
-  isShared: IsShared,
+  mayEvictLastReplica: boolean,
+  isEvictable: IsEvictable,
 ): readonly string[] | undefined {
-  const replica = ({ model }: UpstreamView['residents'][number]) =>
-    isElsewhere(view, upstream.index, model);
+  const isReplica = ({ model }: UpstreamView['residents'][number]) =>
+    isReadyElsewhere(view, upstream.index, model);
   const idle = upstream.residents
     .filter(({ phase, running }) => phase === 'ready' && running === 0)
-    .filter((held) => replica(held) || (sharing && isShared(upstream, held.model)))
-    .sort((a, b) => Number(replica(b)) - Number(replica(a)) || a.lastUsedAtMs - b.lastUsedAtMs);
+    .filter((held) => isReplica(held) || (mayEvictLastReplica && isEvictable(upstream, held.model)))
+    .sort((a, b) => Number(isReplica(b)) - Number(isReplica(a)) || a.lastUsedAtMs - b.lastUsedAtMs);
   const evicted: string[] = [];
   let { freeBytes } = upstream;
   for (const held of idle) {
@@ -138,12 +138,12 @@
   return freeBytes >= sizeBytes ? evicted : undefined;
 }
 
-/** Asks the first upstream of the model's rendezvous order with room, else the first that makes room. */
+/** Loads on the first upstream in the model's rendezvous order with free memory, else on the first that can evict. */
 function rescue(
   model: string,
   view: ClusterView,
   sizeBytes: number,
-  isShared: IsShared,
+  isEvictable: IsEvictable,
 ): readonly PlacementOrder[] {
   const usable = view.upstreams.filter(
     ({ alive, leaving, checksFencing }) => alive && !leaving && (view.storeUp || checksFencing),
@@ -153,20 +153,20 @@
     usable.map(({ id }) => id),
   );
   const ranked = order.flatMap((id) => usable.find((upstream) => upstream.id === id) ?? []);
-  const roomy = ranked.find(({ freeBytes }) => freeBytes >= sizeBytes);
-  if (roomy) return [loadOf(roomy.index, model, 9)];
-  for (const sharing of [false, true]) {
-    for (const upstream of ranked.slice(0, RESCUE_ASKS)) {
-      const evicted = evictions(upstream, view, sizeBytes, sharing, isShared);
+  const withRoom = ranked.find(({ freeBytes }) => freeBytes >= sizeBytes);
+  if (withRoom) return [load(withRoom.index, model, 9)];
+  for (const mayEvictLastReplica of [false, true]) {
+    for (const upstream of ranked.slice(0, MAX_RESCUE_CANDIDATES)) {
+      const evicted = evictions(upstream, view, sizeBytes, mayEvictLastReplica, isEvictable);
       if (!evicted) continue;
       const unloads = evicted.map((old) => unload(upstream.index, old));
-      return [...unloads, loadOf(upstream.index, model, 9)];
+      return [...unloads, load(upstream.index, model, 9)];
     }
   }
   return [];
 }
 
-/** The planner's core, and the rescue that needs no planner. */
+/** The planner core, and on-demand loads that need no planner. */
 export function corePlacement(options: CorePlacementOptions = {}): MakePlacement {
   return (deployment, seed) => {
     const { forecaster = smooth, spares = 'last' } = options;
@@ -175,12 +175,12 @@
     const sizes = new Map<string, number>(models.map(({ id, sizeBytes }) => [id, sizeBytes]));
     const { weightStore, placement } = deployment.document;
     const movePenalty = options.movePenalty ?? placement.movePenalty;
-    const counted = new Map<string, Counter>();
+    const totals = new Map<string, Counter>();
     const wanted = new Map<string, Place>();
     const readyAtMs = new Map<string, number>();
     let planner = createPlanner();
 
-    /** Notes since when each model has been ready where. */
+    /** Records since when each model has been ready at each upstream. */
     const watch = ({ upstreams }: ClusterView, nowMs: number) => {
       const ready = new Set<string>();
       for (const { index, residents } of upstreams) {
@@ -193,8 +193,8 @@
     };
 
     const count = (demand: DemandView) => {
-      const before = counted.get(demand.model);
-      counted.set(demand.model, {
+      const before = totals.get(demand.model);
+      totals.set(demand.model, {
         upstream: '' as UpstreamId,
         incarnation: 1 as Incarnation,
         model: demand.model as ModelId,
@@ -215,7 +215,7 @@
           movePenalty,
           ...weightStore,
           upstreams: view.upstreams.map(cellUpstream),
-          counters: [...counted.values()],
+          counters: [...totals.values()],
         };
         const { state, effects } = step(planner, { type: 'round', cell }, nowMs);
         planner = state;
@@ -225,14 +225,14 @@
         return view.upstreams.flatMap((upstream) => {
           const place = wanted.get(upstream.id);
           const usable = upstream.alive && (view.storeUp || upstream.checksFencing);
-          return place && usable ? carryOut(place, upstream, sizes) : [];
+          return place && usable ? ordersFor(place, upstream, sizes) : [];
         });
       },
       missing(model, view, nowMs) {
         watch(view, nowMs);
-        const isShared: IsShared = ({ index }, held) =>
-          nowMs - (readyAtMs.get(`${index} ${held}`) ?? nowMs) >= SHARE_MS;
-        return rescue(model, view, sizes.get(model) ?? 0, isShared);
+        const isEvictable: IsEvictable = ({ index }, held) =>
+          nowMs - (readyAtMs.get(`${index} ${held}`) ?? nowMs) >= MIN_RESIDENCE_MS;
+        return rescue(model, view, sizes.get(model) ?? 0, isEvictable);
       },
     };
   };
--- a/bench/experiment/ours.ts
+++ b/bench/experiment/corepolicies.ts
@@ -3,8 +3,8 @@
 import { coreRoute } from './coreroute.js';
 import type { PolicySet } from './policyset.js';
 
-/** The decision cores of the daemons. */
-export const ours: PolicySet = {
+/** The policies of the entry, the sidecar and the planner. */
+export const corePolicies: PolicySet = {
   name: 'tarragonstile',
   queue: coreQueue,
   route: coreRoute,
--- a/bench/experiment/corequeue.ts
+++ b/bench/experiment/corequeue.ts
@@ -1,7 +1,7 @@
 import { admission, startAdmission, reportLoad } from '../../src/core/admission/index.js';
 import type { MakeQueue } from './queuepolicy.js';
 
-/** The sidecar's own admission core. */
+/** The sidecar's admission core. */
 export const coreQueue: MakeQueue = (policy) => {
   const state = startAdmission(policy);
   return {
--- a/bench/experiment/coreroute.ts
+++ b/bench/experiment/coreroute.ts
@@ -15,20 +15,20 @@
   type RoutingState,
   type UpstreamView,
 } from '../../src/core/routing/index.js';
-import type { Ask } from './ask.js';
-import type { SeenLoad } from './queuepolicy.js';
+import type { WorkloadRequest } from './workloadrequest.js';
+import type { ReportedLoad } from './queuepolicy.js';
 import type { Candidate, MakeRoute } from './routepolicy.js';
 
 const SLOTS = 16;
 const INCARNATION = 1 as Incarnation;
 const NO_ADAPTERS: ReadonlySet<never> = new Set();
 
-function targetOf({ kind, model }: Ask): Target {
+function targetOf({ kind, model }: WorkloadRequest): Target {
   const id = model ? (model as ModelId) : undefined;
   return { service: '' as Target['service'], kind, model: id };
 }
 
-function wantOf(ask: Ask): RouteWant {
+function wantOf(ask: WorkloadRequest): RouteWant {
   return {
     requestId: ask.requestId as RequestId,
     target: targetOf(ask),
@@ -38,17 +38,24 @@
   };
 }
 
-function wire({ running, queued, slots, estimatedWaitMs, atMs }: SeenLoad, nowMs: number) {
+function reportedLoad(
+  { running, queued, slots, estimatedWaitMs, atMs }: ReportedLoad,
+  nowMs: number,
+) {
   return { running, queued, slots, estimatedWaitMs, ageMs: nowMs - atMs };
 }
 
-/** The routing core of one entry, with the residents that the run lets it see. */
+/** The routing core of one entry, limited to the residency that the run reveals. */
 export const coreRoute: MakeRoute = ({ availabilityZone, seed, entry }) => {
   let state: RoutingState = createRouting(availabilityZone, seed * 1_000 + entry);
   const ids = new Map<number, UpstreamId>();
 
-  /** Knows the upstream, and that it holds the model. */
-  const meet = ({ index, id, availabilityZone: zone }: Candidate, ask: Ask, nowMs: number) => {
+  /** Adds the upstream and its model to the routing state if they are missing. */
+  const ensureKnown = (
+    { index, id, availabilityZone: zone }: Candidate,
+    ask: WorkloadRequest,
+    nowMs: number,
+  ) => {
     const upstream = id as UpstreamId;
     ids.set(index, upstream);
     if (!state.upstreams.has(upstream)) {
@@ -77,15 +84,15 @@
       adapters: NO_ADAPTERS,
       sinceMs: nowMs,
     });
-    const met: UpstreamView = { ...view, residents };
-    state = { ...state, upstreams: new Map(state.upstreams).set(upstream, met) };
-    return met;
+    const updated: UpstreamView = { ...view, residents };
+    state = { ...state, upstreams: new Map(state.upstreams).set(upstream, updated) };
+    return updated;
   };
 
   return {
     choose(ask, candidates, nowMs) {
       const ready = candidates.filter(({ phase }) => phase === 'ready');
-      const serving = ready.flatMap((candidate) => meet(candidate, ask, nowMs) ?? []);
+      const serving = ready.flatMap((candidate) => ensureKnown(candidate, ask, nowMs) ?? []);
       const want = wantOf(ask);
       const picked =
         pickUpstream(state, serving, want, nowMs) ??
@@ -110,7 +117,7 @@
         target: targetOf(ask),
         prefixHash: ask.prefix,
         end: type,
-        load: load ? wire(load, nowMs) : undefined,
+        load: load ? reportedLoad(load, nowMs) : undefined,
       };
       state = stepRouting(state, event, nowMs).state;
       if (state.upstreams.get(upstream)?.breaker.phase === 'open') {
--- a/bench/experiment/cost.ts
+++ b/bench/experiment/cost.ts
@@ -1,14 +1,14 @@
 import type { Curve } from '../../standin/index.js';
-import type { Ask } from './ask.js';
+import type { WorkloadRequest } from './workloadrequest.js';
 
 const PACE_GOAL_MS = 53;
-const PREFIX_PART = 0.5;
+const PREFIX_FRACTION = 0.5;
 
-/** Part of a prompt that other requests share. */
+/** Number of prompt tokens that other requests share. */
 export const prefixTokensOf = (promptTokens: number): number =>
-  Math.floor(promptTokens * PREFIX_PART);
+  Math.floor(promptTokens * PREFIX_FRACTION);
 
-/** Engine time that one request adds at least: its own part of the prompt, and its tokens. */
+/** Minimum engine time of one request: its unshared prompt tokens and its output tokens. */
 export function costMs(
   curve: Curve,
   {
@@ -16,7 +16,7 @@
     prefixTokens,
     outputTokens,
     serviceMs,
-  }: Omit<Ask, 'requestId' | 'atMs' | 'customer' | 'kind' | 'model' | 'prefix'>,
+  }: Omit<WorkloadRequest, 'requestId' | 'atMs' | 'customer' | 'kind' | 'model' | 'prefix'>,
 ): number {
   if (outputTokens === 0) return serviceMs;
   return (
@@ -24,7 +24,7 @@
   );
 }
 
-/** Engine time of such costs that one engine does in one ms while it keeps its token pace. */
+/** Cost in ms that one engine completes per ms while it keeps the token pace. */
 export function capacityPerMs(curve: Curve): number {
   return 1 - (curve.stepMs - curve.stepMsPerRequest) / PACE_GOAL_MS;
 }
--- a/bench/experiment/createupstreams.ts
+++ b/bench/experiment/createupstreams.ts
@@ -1,13 +1,13 @@
 import type { RunOptions } from './runoptions.js';
-import { SimEngine, type EngineTells } from './simengine.js';
+import { SimEngine, type EngineListener } from './simengine.js';
 import type { SimUpstream } from './simupstream.js';
 
 const PACE_GOAL_MS = 53;
 
-/** Builds the upstreams of a run, empty. `tells` is asked for what each engine tells its work to. */
+/** Creates the upstreams of a run with empty memory. `listenerFor` returns the listener of an upstream's engine. */
 export function createUpstreams(
   run: RunOptions,
-  tells: (own: () => SimUpstream) => EngineTells,
+  listenerFor: (upstream: () => SimUpstream) => EngineListener,
 ): readonly SimUpstream[] {
   const { deployment, curve, slotsFactor = 1 } = run;
   const { document } = deployment;
@@ -29,7 +29,7 @@
         group.type === 'engine'
           ? new SimEngine(
               curve,
-              tells(() => upstreams[index]!),
+              listenerFor(() => upstreams[index]!),
             )
           : undefined;
       upstreams.push({
@@ -43,12 +43,12 @@
         flights: new Map(),
         residents: new Map(),
         alive: true,
-        life: 0,
+        incarnation: 0,
         wakeAtMs: Infinity,
         engineDueAtMs: Infinity,
         running: 0,
         queued: 0,
-        pacedAtMs: 0,
+        paceAtMs: 0,
       });
     }
   }
--- a/bench/experiment/deployment.ts
+++ b/bench/experiment/deployment.ts
@@ -1,22 +1,22 @@
 import type { ServiceDocument } from '../../src/core/document/index.js';
 
-/** What requests of one kind look like. */
+/** Traffic of one request kind. */
 export interface Traffic {
   readonly kind: string;
-  /** Part of the requests towards engines (or plain services) that are of this kind. */
-  readonly part: number;
+  /** Fraction of the requests to engines, or to plain services, that are of this kind. */
+  readonly fraction: number;
   readonly promptTokens: number;
   readonly outputTokens: number;
-  /** Time that a plain service takes; 0 for engines. */
+  /** Service time at a plain service; 0 for engines. */
   readonly serviceMs: number;
 }
 
-/** A service with its traffic. */
+/** A service document and the traffic that the service receives. */
 export interface Deployment {
   readonly name: string;
   readonly document: ServiceDocument;
   readonly traffic: readonly Traffic[];
-  /** Part of all requests that the largest customer sends. */
-  readonly largestPart: number;
+  /** Fraction of all requests that come from the largest customer. */
+  readonly largestFraction: number;
   readonly entries: number;
 }
--- a/bench/experiment/fault.ts
+++ b/bench/experiment/fault.ts
@@ -1,4 +1,4 @@
-/** A zone's upstreams die, or are back with empty memory. */
+/** All upstreams of a zone are lost, or return with empty memory. */
 interface ZoneFault {
   readonly atMs: number;
   readonly type: 'zone-lost' | 'zone-back';
@@ -10,7 +10,7 @@
   readonly type: 'planner-lost' | 'planner-back' | 'store-lost' | 'store-back';
 }
 
-/** Engines of one zone (or all, if `zone` is empty) take `factor` times as long. */
+/** Steps of the engines in one zone (in all zones if `zone` is empty) take `factor` times as long. */
 interface SlowFault {
   readonly atMs: number;
   readonly type: 'engines-slow';
@@ -18,5 +18,5 @@
   readonly factor: number;
 }
 
-/** Something that fails, or comes back, at a time of the run. */
+/** A fault, or its end, at a given time. */
 export type Fault = ZoneFault | PlatformFault | SlowFault;
--- a/bench/experiment/flight.ts
+++ b/bench/experiment/flight.ts
@@ -1,23 +1,24 @@
-import type { Ask } from './ask.js';
+import type { WorkloadRequest } from './workloadrequest.js';
 
-/** A request on its way: what has happened to it so far. */
+/** State of a request in flight. */
 export interface Flight {
-  readonly ask: Ask;
+  readonly ask: WorkloadRequest;
   readonly entry: number;
   readonly deadlineAtMs: number;
-  /** Upstreams that refused it or failed under it. */
+  /** Upstreams that refused the request or failed while they had it. */
   readonly tried: number[];
   upstream: number;
   phase: 'routing' | 'parked' | 'queued' | 'running' | 'ended';
   startedAtMs: number;
-  /** Negative until the first token. */
+  /** Time of the first token; negative before it. */
   firstAtMs: number;
-  made: number;
-  /** Tokens made when it last started. */
-  madeAtStart: number;
+  /** Tokens generated so far. */
+  tokens: number;
+  /** Tokens already generated at the last start. */
+  tokensAtStart: number;
   preemptions: number;
-  /** When the last refusal told it to come back; 0 if it did not. */
+  /** Retry-after time of the last refusal; 0 if it gave none. */
   retryAfterMs: number;
-  /** True for a request that was refused before and came back as told. */
-  readonly cameBack: boolean;
+  /** True for the retry of a refused request. */
+  readonly isRetry: boolean;
 }
--- a/bench/experiment/index.ts
+++ b/bench/experiment/index.ts
@@ -1,9 +1,9 @@
 /**
- * The experiment tool: policies meet seeded workloads in virtual time. Policies plug in by
- * `QueuePolicy`, `RoutePolicy` and `PlacementPolicy`; the baselines are in `baseline/`.
+ * Runs policies against seeded workloads in virtual time. A policy implements
+ * `QueuePolicy`, `RoutePolicy` or `PlacementPolicy`; `baseline/` holds the baselines.
  */
 export { agency } from './agency.js';
-export type { Ask } from './ask.js';
+export type { WorkloadRequest } from './workloadrequest.js';
 export { fifo } from './baseline/fifo.js';
 export { leastConnections } from './baseline/leastconnections.js';
 export { loadOnDemand } from './baseline/loadondemand.js';
@@ -24,7 +24,7 @@
   UpstreamView,
 } from './placementpolicy.js';
 export { popularityOf } from './popularity.js';
-export type { MakeQueue, QueuePolicy, SeenLoad } from './queuepolicy.js';
+export type { MakeQueue, QueuePolicy, ReportedLoad } from './queuepolicy.js';
 export { Random } from './random.js';
 export { reenvio } from './reenvio.js';
 export type {
--- a/bench/experiment/makedeployment.ts
+++ b/bench/experiment/makedeployment.ts
@@ -9,15 +9,15 @@
 import type { Deployment, Traffic } from './deployment.js';
 
 const GIGABYTE = 1e9;
-const CUSTOMERS = 9;
+const CUSTOMER_COUNT = 9;
 const LARGEST_SHARE = 8;
-const ENTRIES = 4;
-const LARGEST_PART = 0.6;
+const ENTRY_COUNT = 4;
+const LARGEST_FRACTION = 0.6;
 
-/** A kind with what its requests look like. */
+/** A request kind and its traffic. */
 interface KindOptions extends Omit<Kind, 'name'>, Traffic {}
 
-/** What differs between the deployments. */
+/** Parameters of a deployment. */
 export interface DeploymentOptions {
   readonly name: string;
   readonly region: string;
@@ -33,7 +33,7 @@
   readonly loadsPerSecond: number;
   readonly parallelLoads: number;
   readonly movePenalty: number;
-  /** Every second zone's engines check fencing tokens if true; else none does. */
+  /** If true, engines in the first, third, ... zone check fencing tokens; if false, none do. */
   readonly checksFencing: boolean;
 }
 
@@ -80,7 +80,7 @@
 }
 
 function documentOf(options: DeploymentOptions): ServiceDocument {
-  const customers = Array.from({ length: CUSTOMERS }, (_, index) => ({
+  const customers = Array.from({ length: CUSTOMER_COUNT }, (_, index) => ({
     id: `customer-${index}` as Customer['id'],
     keyHashes: [],
     share: index === 0 ? LARGEST_SHARE : 1,
@@ -116,9 +116,9 @@
   };
 }
 
-/** Builds a deployment's document and traffic. */
+/** Builds the document and the traffic of a deployment. */
 export function makeDeployment(options: DeploymentOptions): Deployment {
   const { name, kinds: traffic } = options;
   const document = documentOf(options);
-  return { name, document, traffic, largestPart: LARGEST_PART, entries: ENTRIES };
+  return { name, document, traffic, largestFraction: LARGEST_FRACTION, entries: ENTRY_COUNT };
 }
--- a/bench/experiment/placementpolicy.ts
+++ b/bench/experiment/placementpolicy.ts
@@ -6,11 +6,11 @@
   readonly phase: 'loading' | 'ready' | 'unloading';
   readonly sizeBytes: number;
   readonly lastUsedAtMs: number;
-  /** Requests that run with it now. */
+  /** Requests that use the model now. */
   readonly running: number;
 }
 
-/** One engine upstream as its sidecar tells it. */
+/** An engine upstream as reported by its sidecar. */
 export interface UpstreamView {
   readonly index: number;
   readonly id: string;
@@ -18,7 +18,7 @@
   readonly checksFencing: boolean;
   readonly alive: boolean;
   readonly leaving: boolean;
-  /** Memory that models may take. */
+  /** Memory available to models. */
   readonly memoryBytes: number;
   readonly freeBytes: number;
   readonly running: number;
@@ -27,45 +27,45 @@
   readonly residents: readonly ResidentView[];
 }
 
-/** What was asked of one model since the last plan. */
+/** Demand for one model since the last plan. */
 export interface DemandView {
   readonly model: string;
   readonly askedCount: number;
   readonly refusedCount: number;
-  /** Upstream time that its requests took. */
+  /** Upstream time used by its requests. */
   readonly serviceTimeMs: number;
 }
 
-/** What a planner knows. */
+/** Input of a plan. */
 export interface ClusterView {
   readonly upstreams: readonly UpstreamView[];
   readonly demand: readonly DemandView[];
   readonly storeUp: boolean;
-  /** Loads that wait for or use the weight store. */
+  /** Loads that wait for the weight store or read from it. */
   readonly loadsPending: number;
 }
 
-/** A change of what an upstream holds. */
+/** An order to load or unload a model. */
 export interface PlacementOrder {
   readonly type: 'load' | 'unload';
   readonly index: number;
   readonly model: string;
-  /** Higher goes first to the weight store. */
+  /** Loads with higher urgency read from the weight store first. */
   readonly urgency: number;
 }
 
 /** Decides which upstream holds which model. */
 export interface PlacementPolicy {
-  /** Time between plans; infinity never plans. */
+  /** Time between plans; infinity disables planning. */
   readonly intervalMs: number;
-  /** Loads that are in memory when the run begins. */
+  /** Models that are in memory when the run starts. */
   start(view: ClusterView): readonly PlacementOrder[];
   plan(view: ClusterView, nowMs: number): readonly PlacementOrder[];
-  /** A request found its model nowhere. Also called when no planner lives. */
+  /** Called when a requested model is in no upstream's memory, also while the planner is lost. */
   missing(model: string, view: ClusterView, nowMs: number): readonly PlacementOrder[];
-  /** Every upstream that holds the model has refused a request for it. At most once a second a model. */
+  /** Called when a request was refused and no upstream loads its model, at most once per second and model. */
   refused?(model: string, view: ClusterView, nowMs: number): readonly PlacementOrder[];
 }
 
-/** Builds the planner of one run. */
+/** Creates the placement policy of one run. */
 export type MakePlacement = (deployment: Deployment, seed: number) => PlacementPolicy;
--- a/bench/experiment/policyset.ts
+++ b/bench/experiment/policyset.ts
@@ -2,12 +2,12 @@
 import type { MakeQueue } from './queuepolicy.js';
 import type { MakeRoute } from './routepolicy.js';
 
-/** Policies that meet a workload together. */
+/** The queue, route and placement policies of one run. */
 export interface PolicySet {
   readonly name: string;
   readonly queue: MakeQueue;
   readonly route: MakeRoute;
   readonly placement: MakePlacement;
-  /** Declared slots are multiplied by this; 1 if left out. */
+  /** Multiplies the declared slots; 1 by default. */
   readonly slotsFactor?: number;
 }
--- a/bench/experiment/popularity.ts
+++ b/bench/experiment/popularity.ts
@@ -3,7 +3,7 @@
 
 const ZIPF_EXPONENT = 0.8;
 
-/** Each model's part of all requests towards models, on the whole. */
+/** Returns each model's mean fraction of all requests to models. */
 export function popularityOf(deployment: Deployment, seed: number): ReadonlyMap<string, number> {
   const { models } = deployment.document;
   const order = new Random(seed, 'popularity').shuffle(models.map(({ id }) => id));
--- a/bench/experiment/prefixmemory.ts
+++ b/bench/experiment/prefixcache.ts
@@ -1,12 +1,12 @@
 const CAPACITY_TOKENS = 40_000;
 
-/** Prompt prefixes that one engine holds: least recently used ones go first. */
-export class PrefixMemory {
+/** Prefix cache of one engine with least-recently-used eviction. */
+export class PrefixCache {
   private readonly held = new Map<string, number>();
 
   private tokens = 0;
 
-  /** Whether the prefix was held; it is from now on. */
+  /** Returns true if the prefix was cached, and caches it otherwise. */
   use(prefix: string, tokens: number): boolean {
     if (tokens === 0) return false;
     const hit = this.held.delete(prefix);
--- a/bench/experiment/queuepolicy.ts
+++ b/bench/experiment/queuepolicy.ts
@@ -4,21 +4,21 @@
   AdmissionPolicy,
 } from '../../src/core/admission/index.js';
 
-/** What an upstream tells of its load with each answer. */
-export interface SeenLoad {
+/** Load that an upstream reports with each answer. */
+export interface ReportedLoad {
   readonly running: number;
   readonly queued: number;
   readonly slots: number;
   readonly estimatedWaitMs: number;
-  /** When it was told. */
+  /** Time of the report. */
   readonly atMs: number;
 }
 
-/** Admission and queue of one upstream. */
+/** Admission control and queue of one upstream. */
 export interface QueuePolicy {
   step(event: AdmissionEvent, nowMs: number): readonly AdmissionEffect[];
-  load(nowMs: number): SeenLoad;
+  load(nowMs: number): ReportedLoad;
 }
 
-/** Builds the queue of one upstream. */
+/** Creates the queue of one upstream. */
 export type MakeQueue = (policy: AdmissionPolicy) => QueuePolicy;
--- a/bench/experiment/random.ts
+++ b/bench/experiment/random.ts
@@ -4,7 +4,7 @@
 const FACTOR = 31;
 const MODULUS = 2_147_483_647;
 
-/** Draws from one seeded stream; streams with different names do not share their numbers. */
+/** Seeded random numbers. Streams with different names are independent. */
 export class Random {
   private readonly generator;
 
@@ -14,7 +14,7 @@
     this.generator = xoroshiro128plus(mix);
   }
 
-  /** From 0 up to 1. */
+  /** Returns a number from 0 (inclusive) to 1 (exclusive). */
   next(): number {
     return uniformFloat64(this.generator);
   }
@@ -23,12 +23,12 @@
     return low + (high - low) * this.next();
   }
 
-  /** Time until the next of events that come at random, so far apart in the mean. */
+  /** Returns the time to the next event of a Poisson process with this mean interval. */
   exponential(mean: number): number {
     return -Math.log(1 - this.next()) * mean;
   }
 
-  /** Mostly below the mean, with a tail: sizes of prompts and answers. */
+  /** Returns a prompt or answer size: mostly below the mean, with a long tail. */
   size(mean: number): number {
     const sum = this.exponential(mean / 2) + this.exponential(mean / 2);
     return Math.max(1, Math.round(sum));
--- a/bench/experiment/reenvio.ts
+++ b/bench/experiment/reenvio.ts
@@ -1,6 +1,6 @@
 import { makeDeployment } from './makedeployment.js';
 
-/** Reenvío Norte at today's size: notices, misaddressed letters, lookups at the door, charges. */
+/** Reenvío Norte at its present size: notices, misaddressed letters, door lookups and charges. */
 export const reenvio = makeDeployment({
   name: 'reenvio',
   region: 'cantabrico',
@@ -23,7 +23,7 @@
       deadlineMs: 1400,
       weight: 2,
       repeatable: true,
-      part: 0.6,
+      fraction: 0.6,
       promptTokens: 300,
       outputTokens: 8,
       serviceMs: 0,
@@ -34,7 +34,7 @@
       deadlineMs: 4000,
       weight: 4,
       repeatable: true,
-      part: 0.37,
+      fraction: 0.37,
       promptTokens: 600,
       outputTokens: 150,
       serviceMs: 0,
@@ -46,7 +46,7 @@
       weight: 4,
       repeatable: true,
       longJob: true,
-      part: 0.03,
+      fraction: 0.03,
       promptTokens: 1500,
       outputTokens: 1200,
       serviceMs: 0,
@@ -57,7 +57,7 @@
       deadlineMs: 500,
       weight: 1,
       repeatable: true,
-      part: 0.9,
+      fraction: 0.9,
       promptTokens: 0,
       outputTokens: 0,
       serviceMs: 100,
@@ -68,7 +68,7 @@
       deadlineMs: 1500,
       weight: 3,
       repeatable: false,
-      part: 0.1,
+      fraction: 0.1,
       promptTokens: 0,
       outputTokens: 0,
       serviceMs: 150,
--- a/bench/experiment/refusallog.ts
+++ b/bench/experiment/refusallog.ts
@@ -1,60 +1,65 @@
-import type { Ask } from './ask.js';
+import type { WorkloadRequest } from './workloadrequest.js';
 
 const RANK = { urgent: 0, normal: 1, background: 2 } as const;
 
-/** A place that became somebody's, or nobody's (`rank` 9: it stayed free). */
-interface Given {
+/** A slot that was given to a request, or stayed free (`rank` 9). */
+interface SlotUse {
   readonly atMs: number;
   readonly rank: number;
   readonly customer: string;
   readonly deadlineAtMs: number;
 }
 
-interface Refused {
+interface Refusal {
   readonly atMs: number;
-  readonly ask: Ask;
+  readonly ask: WorkloadRequest;
   readonly deadlineAtMs: number;
-  /** Least time from start to first token or, before a plain service, to the answer. */
-  readonly needMs: number;
+  /** Shortest time from start to first token, or to the answer of a plain service. */
+  readonly minServiceMs: number;
 }
 
 const BACKGROUND = RANK.background;
-const NOBODY = 9;
+const UNUSED_RANK = 9;
 
 /**
- * Judges refusals in hindsight: "the deadline cannot be met" was false if, in time, a place stayed free
- * or went to a request that this one would have preceded: to background work, or to one of the same
- * customer that is less urgent or is due later. (Between customers, shares decide.)
+ * Checks refusals in hindsight. "The deadline cannot be met" was untrue if, in time, a slot stayed free or
+ * went to a request of lower precedence: background work, or a request of the same customer that is less
+ * urgent or due later. Between customers, shares decide, so such slots do not count.
  */
 export class RefusalLog {
-  private readonly given: Given[] = [];
+  private readonly slotUses: SlotUse[] = [];
 
-  private readonly refused: Refused[] = [];
+  private readonly refusals: Refusal[] = [];
 
-  started(atMs: number, ask: Ask, deadlineAtMs: number): void {
+  recordStart(atMs: number, ask: WorkloadRequest, deadlineAtMs: number): void {
     const rank = RANK[ask.kind.priority];
-    this.given.push({ atMs, rank, customer: ask.customer, deadlineAtMs });
+    this.slotUses.push({ atMs, rank, customer: ask.customer, deadlineAtMs });
   }
 
-  idle(atMs: number): void {
-    this.given.push({ atMs, rank: NOBODY, customer: '', deadlineAtMs: Infinity });
+  recordIdle(atMs: number): void {
+    this.slotUses.push({ atMs, rank: UNUSED_RANK, customer: '', deadlineAtMs: Infinity });
   }
 
-  refuse(atMs: number, ask: Ask, deadlineAtMs: number, needMs: number): void {
-    this.refused.push({ atMs, ask, deadlineAtMs, needMs });
+  recordRefusal(
+    atMs: number,
+    ask: WorkloadRequest,
+    deadlineAtMs: number,
+    minServiceMs: number,
+  ): void {
+    this.refusals.push({ atMs, ask, deadlineAtMs, minServiceMs });
   }
 
-  judge(): { readonly refused: number; readonly untrue: number } {
+  evaluate(): { readonly refused: number; readonly untrue: number } {
     let untrue = 0;
-    for (const refused of this.refused) if (this.couldHaveRun(refused)) untrue += 1;
-    return { refused: this.refused.length, untrue };
+    for (const refused of this.refusals) if (this.couldHaveRun(refused)) untrue += 1;
+    return { refused: this.refusals.length, untrue };
   }
 
-  private couldHaveRun({ atMs, ask, deadlineAtMs, needMs }: Refused): boolean {
+  private couldHaveRun({ atMs, ask, deadlineAtMs, minServiceMs }: Refusal): boolean {
     const rank = RANK[ask.kind.priority];
-    for (let at = this.firstAfter(atMs); at < this.given.length; at += 1) {
-      const place = this.given[at]!;
-      if (place.atMs > deadlineAtMs - needMs) return false;
+    for (let at = this.firstIndexAfter(atMs); at < this.slotUses.length; at += 1) {
+      const place = this.slotUses[at]!;
+      if (place.atMs > deadlineAtMs - minServiceMs) return false;
       if (place.rank >= BACKGROUND && place.rank > rank) return true;
       if (place.customer !== ask.customer) continue;
       if (place.rank > rank) return true;
@@ -63,12 +68,12 @@
     return false;
   }
 
-  private firstAfter(atMs: number): number {
+  private firstIndexAfter(atMs: number): number {
     let low = 0;
-    let high = this.given.length;
+    let high = this.slotUses.length;
     while (low < high) {
       const middle = Math.floor((low + high) / 2);
-      if (this.given[middle]!.atMs <= atMs) low = middle + 1;
+      if (this.slotUses[middle]!.atMs <= atMs) low = middle + 1;
       else high = middle;
     }
     return low;
--- a/bench/experiment/report/chart.ts
+++ b/bench/experiment/report/chart.ts
@@ -5,7 +5,7 @@
 const TOP = 24;
 const COLOURS = ['#c0392b', '#2c3e50', '#2980b9', '#27ae60', '#8e44ad', '#d35400', '#7f8c8d'];
 
-/** A line of a chart. */
+/** One series of a chart. */
 interface Line {
   readonly name: string;
   readonly points: readonly (readonly [x: number, y: number])[];
@@ -15,7 +15,7 @@
   return (value: number) => from + ((value - low) / (high - low || 1)) * (to - from);
 }
 
-/** An inline SVG line chart. */
+/** Returns an inline SVG line chart. */
 export function chart(title: string, lines: readonly Line[]): string {
   const points = lines.flatMap((line) => line.points);
   const xs = points.map(([x]) => x);
--- a/bench/experiment/report/page.ts
+++ b/bench/experiment/report/page.ts
@@ -21,7 +21,7 @@
       lines((row) => row.attainmentPerAcceleratorMinute.median),
     ),
     chart(
-      `${deployment}: part of the urgent requests in time, against offered load`,
+      `${deployment}: fraction of urgent requests in time, against offered load`,
       lines((row) => row.urgentInTime.median),
     ),
   ].join('\n');
@@ -35,7 +35,7 @@
   const title = `${deployment} at load ${load}`;
   const waits = ['urgent', 'normal', 'background'].map((priority) =>
     chart(
-      `${title}: 95% of ${priority} waits (ms) over time (s), of those that started`,
+      `${title}: 95th percentile of ${priority} waits (ms) over time (s), started requests only`,
       runs.map(({ name, waits: all }) => ({
         name,
         points: all
@@ -58,7 +58,7 @@
   ].join('\n');
 }
 
-/** The report of a run of the studies, with its plots inline. */
+/** Returns an HTML page with the charts of the studies. */
 export function page(
   sweeps: readonly Sweep[],
   times: readonly OverTime[],
--- a/bench/experiment/memories.ts
+++ b/bench/experiment/residency.ts
@@ -1,45 +1,45 @@
 /* eslint no-param-reassign: off -- a simulated world changes its own records in place */
 import type { AdmissionEvent } from '../../src/core/admission/index.js';
-import type { Agenda } from './agenda.js';
+import type { Scheduler } from './scheduler.js';
 import type { PlacementOrder } from './placementpolicy.js';
 import type { RunOptions } from './runoptions.js';
 import type { SimResident, SimUpstream } from './simupstream.js';
 import { WeightQueue, type PendingLoad } from './weightqueue.js';
 
-const DEFAULT_LAG_MS = 200;
+const DEFAULT_LIST_LAG_MS = 200;
 
-/** What the memories of all upstreams are built from, and whom they tell. */
-interface MemoriesOptions {
+/** Dependencies of `Residency`, and its callbacks. */
+interface ResidencyOptions {
   readonly run: RunOptions;
-  readonly agenda: Agenda;
+  readonly scheduler: Scheduler;
   readonly upstreams: readonly SimUpstream[];
-  readonly tell: (upstream: SimUpstream, event: AdmissionEvent) => void;
+  readonly dispatch: (upstream: SimUpstream, event: AdmissionEvent) => void;
   readonly moved: (type: 'loads' | 'unloads', nowMs: number) => void;
-  /** Entries know by now that a model is in some upstream's memory. */
-  readonly arrived: (model: string) => void;
+  /** Called when entries learn that a model is in an upstream's memory. */
+  readonly modelReady: (model: string) => void;
 }
 
-/** Which models are in which upstream's memory, what is being loaded, and what entries believe of it. */
-export class Memories {
-  /** What entries believe: which upstreams hold a model, and which load it. */
+/** Tracks which models each upstream holds or loads, and the delayed view that entries have of it. */
+export class Residency {
+  /** The entries' view: the upstreams that hold each model, and those that load it. */
   readonly ready = new Map<string, Set<number>>();
 
   readonly loading = new Map<string, Set<number>>();
 
-  /** While the platform's store is down, upstreams that check no fencing token load nothing. */
+  /** While the platform's store is lost, upstreams that do not check fencing tokens load nothing. */
   storeUp = true;
 
   private readonly weights: WeightQueue;
 
   private readonly sizes: ReadonlyMap<string, number>;
 
-  constructor(private readonly options: MemoriesOptions) {
+  constructor(private readonly options: ResidencyOptions) {
     const { models, weightStore } = options.run.deployment.document;
     this.weights = new WeightQueue(weightStore.loadsPerSecond, weightStore.parallelLoads);
     this.sizes = new Map(models.map(({ id, sizeBytes }) => [id, sizeBytes]));
   }
 
-  /** Loads that wait for the weight store, or use it. */
+  /** Loads that wait for the weight store or read from it. */
   get pending(): number {
     return this.weights.pending;
   }
@@ -56,11 +56,11 @@
     const sizeBytes = this.sizes.get(model) ?? 0;
     if (sizeBytes > upstream.freeBytes || upstream.residents.has(model)) return;
     this.addResident(upstream, model, sizeBytes, 'ready');
-    this.believe(this.ready, model, index, true);
+    this.updateView(this.ready, model, index, true);
   }
 
-  /** An upstream has died with all that it held. */
-  lose(upstream: SimUpstream): void {
+  /** Empties the memory of a lost upstream. */
+  clear(upstream: SimUpstream): void {
     const { index, residents } = upstream;
     upstream.freeBytes = upstream.memoryBytes;
     this.weights.drop(index);
@@ -68,8 +68,8 @@
     residents.clear();
     this.later(() => {
       for (const model of models) {
-        this.believe(this.ready, model, index, residents.get(model)?.phase === 'ready');
-        this.believe(this.loading, model, index, false);
+        this.updateView(this.ready, model, index, residents.get(model)?.phase === 'ready');
+        this.updateView(this.loading, model, index, false);
       }
     });
   }
@@ -83,11 +83,11 @@
     const resident = this.addResident(upstream, model, sizeBytes, 'loading');
     const { loadBytesPerMs } = this.options.run.curve;
     const waitMs = this.weights.expectMs(sizeBytes, loadBytesPerMs);
-    resident.expectedAtMs = this.options.agenda.nowMs + waitMs;
-    this.later(() => this.believe(this.loading, model, index, true));
-    this.options.tell(upstream, { type: 'model', model, phase: 'loading', readyInMs: waitMs });
+    resident.expectedAtMs = this.options.scheduler.nowMs + waitMs;
+    this.later(() => this.updateView(this.loading, model, index, true));
+    this.options.dispatch(upstream, { type: 'model', model, phase: 'loading', readyInMs: waitMs });
     this.weights.add({ index, model, sizeBytes, urgency });
-    this.pullWeights();
+    this.startLoads();
   }
 
   private addResident(
@@ -100,45 +100,47 @@
       model,
       sizeBytes,
       phase,
-      lastUsedAtMs: this.options.agenda.nowMs,
+      lastUsedAtMs: this.options.scheduler.nowMs,
       running: 0,
-      expectedAtMs: this.options.agenda.nowMs,
+      expectedAtMs: this.options.scheduler.nowMs,
     };
     upstream.residents.set(model, resident);
     upstream.freeBytes -= sizeBytes;
     return resident;
   }
 
-  private pullWeights(): void {
+  private startLoads(): void {
     for (
-      let load = this.weights.take(this.options.agenda.nowMs);
+      let load = this.weights.take(this.options.scheduler.nowMs);
       load;
-      load = this.weights.take(this.options.agenda.nowMs)
+      load = this.weights.take(this.options.scheduler.nowMs)
     ) {
       const taken = load;
-      const { life } = this.options.upstreams[load.index]!;
+      const { incarnation } = this.options.upstreams[load.index]!;
       const tookMs = load.sizeBytes / this.options.run.curve.loadBytesPerMs;
-      this.options.agenda.at(this.options.agenda.nowMs + tookMs, () => this.loaded(taken, life));
+      this.options.scheduler.at(this.options.scheduler.nowMs + tookMs, () =>
+        this.loaded(taken, incarnation),
+      );
     }
-    const retryAtMs = this.weights.retryAtMs(this.options.agenda.nowMs);
-    if (retryAtMs !== Infinity) this.options.agenda.at(retryAtMs, () => this.pullWeights());
+    const retryAtMs = this.weights.retryAtMs(this.options.scheduler.nowMs);
+    if (retryAtMs !== Infinity) this.options.scheduler.at(retryAtMs, () => this.startLoads());
   }
 
-  private loaded({ index, model }: PendingLoad, life: number): void {
+  private loaded({ index, model }: PendingLoad, incarnation: number): void {
     this.weights.end();
     const upstream = this.options.upstreams[index]!;
     const resident = upstream.residents.get(model);
-    if (upstream.life === life && resident?.phase === 'loading') {
+    if (upstream.incarnation === incarnation && resident?.phase === 'loading') {
       resident.phase = 'ready';
-      this.options.moved('loads', this.options.agenda.nowMs);
-      this.options.tell(upstream, { type: 'model', model, phase: 'ready', readyInMs: 0 });
+      this.options.moved('loads', this.options.scheduler.nowMs);
+      this.options.dispatch(upstream, { type: 'model', model, phase: 'ready', readyInMs: 0 });
       this.later(() => {
-        this.believe(this.loading, model, index, false);
-        this.believe(this.ready, model, index, upstream.residents.get(model)?.phase === 'ready');
-        this.options.arrived(model);
+        this.updateView(this.loading, model, index, false);
+        this.updateView(this.ready, model, index, upstream.residents.get(model)?.phase === 'ready');
+        this.options.modelReady(model);
       });
     }
-    this.pullWeights();
+    this.startLoads();
   }
 
   private unload({ index, model }: PlacementOrder): void {
@@ -146,44 +148,44 @@
     const resident = upstream.residents.get(model);
     if (!upstream.alive || resident?.phase !== 'ready') return;
     resident.phase = 'unloading';
-    this.later(() => this.believe(this.ready, model, index, false));
-    this.options.tell(upstream, { type: 'model', model, phase: 'absent', readyInMs: 0 });
+    this.later(() => this.updateView(this.ready, model, index, false));
+    this.options.dispatch(upstream, { type: 'model', model, phase: 'absent', readyInMs: 0 });
     if (resident.running === 0) this.removeResident(upstream, resident);
   }
 
   removeResident(upstream: SimUpstream, resident: SimResident): void {
     if (!upstream.residents.delete(resident.model)) return;
     upstream.freeBytes += resident.sizeBytes;
-    this.options.moved('unloads', this.options.agenda.nowMs);
+    this.options.moved('unloads', this.options.scheduler.nowMs);
   }
 
   private later(act: () => void): void {
-    this.options.agenda.at(
-      this.options.agenda.nowMs + (this.options.run.listLagMs ?? DEFAULT_LAG_MS),
+    this.options.scheduler.at(
+      this.options.scheduler.nowMs + (this.options.run.listLagMs ?? DEFAULT_LIST_LAG_MS),
       act,
     );
   }
 
-  private believe(
-    where: Map<string, Set<number>>,
+  private updateView(
+    view: Map<string, Set<number>>,
     model: string,
     index: number,
-    holds: boolean,
+    isMember: boolean,
   ): void {
-    const set = where.get(model) ?? new Set<number>();
-    where.set(model, set);
-    if (holds) set.add(index);
+    const set = view.get(model) ?? new Set<number>();
+    view.set(model, set);
+    if (isMember) set.add(index);
     else set.delete(index);
   }
 
-  expectedReadyAt(model: string): number {
-    let least = Infinity;
+  expectedReadyAtMs(model: string): number {
+    let earliestMs = Infinity;
     for (const upstream of this.options.upstreams) {
       const resident = upstream.residents.get(model);
       if (upstream.alive && resident && resident.phase !== 'unloading') {
-        least = Math.min(least, resident.expectedAtMs);
+        earliestMs = Math.min(earliestMs, resident.expectedAtMs);
       }
     }
-    return least;
+    return earliestMs;
   }
 }
--- a/bench/experiment/routepolicy.ts
+++ b/bench/experiment/routepolicy.ts
@@ -1,37 +1,41 @@
-import type { Ask } from './ask.js';
-import type { SeenLoad } from './queuepolicy.js';
+import type { WorkloadRequest } from './workloadrequest.js';
+import type { ReportedLoad } from './queuepolicy.js';
 
-/** An upstream as one entry sees it, some time ago. */
+/** An upstream as one entry knows it. */
 export interface Candidate {
   readonly index: number;
   readonly id: string;
   readonly availabilityZone: string;
   readonly phase: 'ready' | 'loading';
-  /** From the last answer or refusal that this entry had from it. */
-  readonly load: SeenLoad | undefined;
+  /** Load in the last answer or refusal that this entry received from the upstream. */
+  readonly load: ReportedLoad | undefined;
 }
 
-/** What became of one attempt. */
+/** Outcome of one attempt. */
 export interface RouteOutcome {
   readonly index: number;
-  readonly ask: Ask;
+  readonly ask: WorkloadRequest;
   readonly type: 'answered' | 'refused' | 'broken' | 'unreachable';
-  readonly load: SeenLoad | undefined;
+  readonly load: ReportedLoad | undefined;
 }
 
-/** Chooses an upstream for each request; every entry has its own. */
+/** Chooses an upstream for each request. Each entry has its own instance. */
 export interface RoutePolicy {
-  /** `candidates` hold the model (or serve its route), do not leave and were not tried yet. */
-  choose(ask: Ask, candidates: readonly Candidate[], nowMs: number): Candidate | undefined;
+  /** `candidates` hold the model or serve its route, are not draining and have not been tried yet. */
+  choose(
+    ask: WorkloadRequest,
+    candidates: readonly Candidate[],
+    nowMs: number,
+  ): Candidate | undefined;
   learn(outcome: RouteOutcome, nowMs: number): void;
 }
 
-/** Where and as which an entry routes. */
+/** Identity and zone of an entry. */
 export interface RouteSettings {
   readonly entry: number;
   readonly availabilityZone: string;
   readonly seed: number;
 }
 
-/** Builds the router of one entry. */
+/** Creates the route policy of one entry. */
 export type MakeRoute = (settings: RouteSettings) => RoutePolicy;
--- a/bench/experiment/runoptions.ts
+++ b/bench/experiment/runoptions.ts
@@ -1,15 +1,15 @@
 import type { Curve } from '../../standin/index.js';
-import type { Ask } from './ask.js';
+import type { WorkloadRequest } from './workloadrequest.js';
 import type { Deployment } from './deployment.js';
 import type { Fault } from './fault.js';
 import type { MakePlacement } from './placementpolicy.js';
 import type { MakeQueue } from './queuepolicy.js';
 import type { MakeRoute } from './routepolicy.js';
 
-/** One run of the experiment: a workload, the policies that meet it, and what fails on the way. */
+/** One run of the experiment: its workload, policies and faults. */
 export interface RunOptions {
   readonly deployment: Deployment;
-  readonly asks: readonly Ask[];
+  readonly requests: readonly WorkloadRequest[];
   readonly durationMs: number;
   readonly seed: number;
   readonly curve: Curve;
@@ -17,12 +17,12 @@
   readonly route: MakeRoute;
   readonly placement: MakePlacement;
   readonly faults?: readonly Fault[];
-  /** Attempts that an entry makes for one request; 2 if left out. */
+  /** Attempts that an entry makes for one request; 2 by default. */
   readonly attempts?: number;
-  /** How late entries learn what is resident where, in ms; 200 if left out. */
+  /** Delay after which entries learn of residency changes, in ms; 200 by default. */
   readonly listLagMs?: number;
-  /** Slots declared in the document are multiplied by this; 1 if left out. */
+  /** Multiplies the slots that the document declares; 1 by default. */
   readonly slotsFactor?: number;
-  /** Clients who were refused come back once, when they were told to; false if left out. */
-  readonly comeBack?: boolean;
+  /** Callers retry a refused request once, after its retry-after time; false by default. */
+  readonly retriesRefused?: boolean;
 }
--- a/bench/experiment/tally.ts
+++ b/bench/experiment/runstatistics.ts
@@ -6,14 +6,14 @@
 const PACE_GOAL_MS = 53;
 const BUCKETS = 60;
 
-interface Sum {
+interface MutableShare {
   asked: number;
   inTime: number;
   weight: number;
   attained: number;
 }
 
-/** Counts of one group of requests: a kind, a priority, a customer. */
+/** Counts over one group of requests: a kind, a priority or a customer. */
 export interface Share {
   readonly asked: number;
   readonly inTime: number;
@@ -21,7 +21,7 @@
   readonly attained: number;
 }
 
-/** Waits of one priority in one piece of the run. */
+/** Waits of one priority in one interval of the run. */
 export interface WaitPoint {
   readonly atMs: number;
   readonly priority: string;
@@ -29,7 +29,7 @@
   readonly p95Ms: number;
 }
 
-function add(sums: Map<string, Sum>, name: string, weight: number, inTime: boolean): void {
+function add(sums: Map<string, MutableShare>, name: string, weight: number, inTime: boolean): void {
   const sum = sums.get(name) ?? { asked: 0, inTime: 0, weight: 0, attained: 0 };
   sums.set(name, sum);
   sum.asked += 1;
@@ -39,18 +39,18 @@
   sum.attained += weight;
 }
 
-/** The value that so many of the sorted numbers do not exceed. */
-function quantile(sorted: readonly number[], part: number): number {
-  return sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * part))] ?? 0;
+/** Returns the given quantile of sorted numbers. */
+function quantile(sorted: readonly number[], fraction: number): number {
+  return sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * fraction))] ?? 0;
 }
 
-/** Collects what a run is judged by. */
-export class Tally {
+/** Collects the results of one run. */
+export class RunStatistics {
   private readonly sums = {
-    all: new Map<string, Sum>(),
-    kind: new Map<string, Sum>(),
-    priority: new Map<string, Sum>(),
-    customer: new Map<string, Sum>(),
+    all: new Map<string, MutableShare>(),
+    kind: new Map<string, MutableShare>(),
+    priority: new Map<string, MutableShare>(),
+    customer: new Map<string, MutableShare>(),
   };
 
   private readonly endings: Record<Ending, number> = { answered: 0, refused: 0, lost: 0 };
@@ -69,8 +69,8 @@
 
   private paced = 0;
 
-  /** Requests that were refused and came back when told to; they count nowhere else. */
-  private readonly cameBack = { asked: 0, answered: 0, inTime: 0 };
+  /** Retries of refused requests; excluded from all other counts. */
+  private readonly retried = { asked: 0, answered: 0, inTime: 0 };
 
   preemptions = 0;
 
@@ -80,7 +80,10 @@
 
   constructor(private readonly durationMs: number) {}
 
-  /** The answer is whole: was it in time? Engines: first token by the deadline, and the last by 53 ms a token after it. */
+  /**
+   * Records a complete answer. An engine's answer is in time if its first token meets the deadline and its last
+   * follows within 53 ms for each further token.
+   */
   answered(flight: Flight, nowMs: number): void {
     const { ask, deadlineAtMs, firstAtMs } = flight;
     const lastDueAtMs = deadlineAtMs + PACE_GOAL_MS * (ask.outputTokens - 1);
@@ -99,7 +102,7 @@
   }
 
   refused(flight: Flight, reason: string, nowMs: number): void {
-    if (!flight.cameBack) this.refusals.set(reason, (this.refusals.get(reason) ?? 0) + 1);
+    if (!flight.isRetry) this.refusals.set(reason, (this.refusals.get(reason) ?? 0) + 1);
     this.end(flight, 'refused', false, nowMs);
   }
 
@@ -114,7 +117,7 @@
     waits.push(waitMs);
   }
 
-  moved(type: 'loads' | 'unloads', nowMs: number): void {
+  recordMove(type: 'loads' | 'unloads', nowMs: number): void {
     this[type] += 1;
     this.movesIn[this.bucket(nowMs)]! += 1;
   }
@@ -132,7 +135,7 @@
       refusals: Object.fromEntries(this.refusals),
       paceKept: this.paced > 0 ? this.paceKept / this.paced : 1,
       preemptions: this.preemptions,
-      cameBack: this.cameBack,
+      retried: this.retried,
       moves: this.loads + this.unloads,
       loads: this.loads,
       unloads: this.unloads,
@@ -142,16 +145,16 @@
       waits: this.waitPoints(),
       attainedOverTime: this.attainedIn,
       movesOverTime: this.movesIn,
-      longestSilenceMs: this.silences(),
+      longestAnswerGapMs: this.answerGaps(),
     };
   }
 
   private end(flight: Flight, ending: Ending, inTime: boolean, nowMs: number): void {
     const { kind, customer } = flight.ask;
-    if (flight.cameBack) {
-      this.cameBack.asked += 1;
-      if (ending === 'answered') this.cameBack.answered += 1;
-      if (inTime) this.cameBack.inTime += 1;
+    if (flight.isRetry) {
+      this.retried.asked += 1;
+      if (ending === 'answered') this.retried.answered += 1;
+      if (inTime) this.retried.inTime += 1;
       return;
     }
     this.endings[ending] += 1;
@@ -166,7 +169,7 @@
     return Math.min(BUCKETS - 1, Math.floor((atMs / this.durationMs) * BUCKETS));
   }
 
-  private share(by: keyof Tally['sums']): Readonly<Record<string, Share>> {
+  private share(by: keyof RunStatistics['sums']): Readonly<Record<string, Share>> {
     return Object.fromEntries(this.sums[by]);
   }
 
@@ -179,13 +182,13 @@
     });
   }
 
-  /** Longest time between two answers of each model, from the start to the end of the run. */
-  private silences(): Readonly<Record<string, number>> {
-    const silences = [...this.answeredAt].map(([model, times]) => {
-      const marks = [0, ...times.filter((atMs) => atMs < this.durationMs), this.durationMs];
-      const gaps = marks.slice(1).map((atMs, index) => atMs - marks[index]!);
+  /** Returns the longest time without an answer of each model, including the start and end of the run. */
+  private answerGaps(): Readonly<Record<string, number>> {
+    const answerGaps = [...this.answeredAt].map(([model, times]) => {
+      const pointsMs = [0, ...times.filter((atMs) => atMs < this.durationMs), this.durationMs];
+      const gaps = pointsMs.slice(1).map((atMs, index) => atMs - pointsMs[index]!);
       return [model, Math.max(...gaps)] as const;
     });
-    return Object.fromEntries(silences);
+    return Object.fromEntries(answerGaps);
   }
 }
--- a/bench/experiment/agenda.ts
+++ b/bench/experiment/scheduler.ts
@@ -1,10 +1,10 @@
 import { Heap } from '../../src/core/admission/index.js';
 
-/** Virtual time: what is due when. */
-export class Agenda {
+/** Runs scheduled callbacks in order of their virtual time. */
+export class Scheduler {
   nowMs = 0;
 
-  /** Acts so far. */
+  /** Number of callbacks run so far. */
   events = 0;
 
   private readonly due = new Heap<() => void>();
@@ -13,7 +13,7 @@
     this.due.push(Math.max(atMs, this.nowMs), act);
   }
 
-  /** Goes on until nothing is due any more. */
+  /** Runs callbacks until none is scheduled. */
   run(): void {
     while (this.due.size > 0) {
       this.nowMs = this.due.peekKey();
--- a/bench/experiment/simengine.ts
+++ b/bench/experiment/simengine.ts
@@ -1,141 +1,144 @@
 import { stepMs, type Curve } from '../../standin/index.js';
 import type { Flight } from './flight.js';
-import { PrefixMemory } from './prefixmemory.js';
+import { PrefixCache } from './prefixcache.js';
 
-/** What an engine tells of its work. */
-export interface EngineTells {
-  first(flight: Flight, nowMs: number): void;
+/** Receives the progress of an engine's requests. */
+export interface EngineListener {
+  firstToken(flight: Flight, nowMs: number): void;
   done(flight: Flight, nowMs: number): void;
 }
 
 /**
- * The stand-in's continuous batching in virtual time: all running requests get one token a step, and
- * the prompts of those that join lengthen their first step. Steps without a change are run at once.
+ * Simulates the stand-in's continuous batching in virtual time. Each step generates one token for all running
+ * requests; prefill of joining requests lengthens their first step. Steps of an unchanged batch are computed at once.
  */
 export class SimEngine {
   private running: Flight[] = [];
 
   private joining: Flight[] = [];
 
-  private begunAtMs = 0;
+  private stepsFromMs = 0;
 
-  private eachMs = 0;
+  private stepDurationMs = 0;
 
   private count = 0;
 
-  /** Somebody joined or left between two steps. */
-  private changed = false;
+  /** True if requests joined or left since the last step. */
+  private isBatchChanged = false;
 
   private gapMs = 0;
 
-  private gaps = 0;
+  private gapCount = 0;
 
-  private readonly cache = new PrefixMemory();
+  private readonly cache = new PrefixCache();
 
   slowdown = 1;
 
   constructor(
     private readonly curve: Curve,
-    private readonly tells: EngineTells,
+    private readonly listener: EngineListener,
   ) {}
 
-  /** When the next call of `turn` is due. */
+  /** Time at which the next call of `finishSteps` is due. */
   get dueAtMs(): number {
-    if (this.changed) return this.begunAtMs;
-    return this.count > 0 ? this.begunAtMs + this.count * this.eachMs : Infinity;
+    if (this.isBatchChanged) return this.stepsFromMs;
+    return this.count > 0 ? this.stepsFromMs + this.count * this.stepDurationMs : Infinity;
   }
 
   add(flight: Flight, nowMs: number): void {
     this.joining.push(flight);
-    this.cutShort(nowMs);
+    this.endAfterCurrentStep(nowMs);
   }
 
   remove(flight: Flight, nowMs: number): void {
     this.joining = this.joining.filter((other) => other !== flight);
     if (!this.running.includes(flight)) return;
-    this.settle(this.stepsBy(nowMs));
+    this.recordSteps(this.stepsBy(nowMs));
     this.running = this.running.filter((other) => other !== flight);
-    this.cutShort(nowMs);
+    this.endAfterCurrentStep(nowMs);
   }
 
-  /** Everything that was running is lost. */
+  /** Drops all requests and returns them. */
   crash(): readonly Flight[] {
     const lost = [...this.running, ...this.joining];
     this.running = [];
     this.joining = [];
     this.count = 0;
-    this.changed = false;
+    this.isBatchChanged = false;
     return lost;
   }
 
-  /** Ends the due steps, tells who got a first or last token, and begins the next. */
-  turn(nowMs: number): void {
-    this.settle(this.count);
+  /** Ends the due steps, reports requests with a first or last token, and starts the next steps. */
+  finishSteps(nowMs: number): void {
+    this.recordSteps(this.count);
     this.count = 0;
-    const first = this.running.filter(({ firstAtMs, made }) => firstAtMs < 0 && made > 0);
-    const done = this.running.filter(({ made, ask }) => made >= ask.outputTokens);
-    this.running = this.running.filter(({ made, ask }) => made < ask.outputTokens);
-    for (const flight of first) this.tells.first(flight, nowMs);
-    for (const flight of done) this.tells.done(flight, nowMs);
-    this.begin(nowMs);
+    const first = this.running.filter(({ firstAtMs, tokens }) => firstAtMs < 0 && tokens > 0);
+    const done = this.running.filter(({ tokens, ask }) => tokens >= ask.outputTokens);
+    this.running = this.running.filter(({ tokens, ask }) => tokens < ask.outputTokens);
+    for (const flight of first) this.listener.firstToken(flight, nowMs);
+    for (const flight of done) this.listener.done(flight, nowMs);
+    this.startSteps(nowMs);
   }
 
-  /** Mean time between tokens since the last call, and their number. */
+  /** Returns the mean gap between tokens since the last call, and the number of gaps. */
   takePace(): { readonly gapMs: number; readonly tokenCount: number } {
-    const pace = { gapMs: this.gaps > 0 ? this.gapMs / this.gaps : 0, tokenCount: this.gaps };
+    const pace = {
+      gapMs: this.gapCount > 0 ? this.gapMs / this.gapCount : 0,
+      tokenCount: this.gapCount,
+    };
     this.gapMs = 0;
-    this.gaps = 0;
+    this.gapCount = 0;
     return pace;
   }
 
   private stepsBy(nowMs: number): number {
     if (this.count === 0) return 0;
-    return Math.min(this.count, Math.floor((nowMs - this.begunAtMs) / this.eachMs));
+    return Math.min(this.count, Math.floor((nowMs - this.stepsFromMs) / this.stepDurationMs));
   }
 
-  /** Counts steps that are over. */
-  private settle(steps: number): void {
+  /** Adds the tokens of completed steps. */
+  private recordSteps(steps: number): void {
     if (steps === 0) return;
     for (const flight of this.running) {
-      flight.made += steps;
+      flight.tokens += steps;
     }
-    this.gapMs += steps * this.eachMs * this.running.length;
-    this.gaps += steps * this.running.length;
-    this.begunAtMs += steps * this.eachMs;
+    this.gapMs += steps * this.stepDurationMs * this.running.length;
+    this.gapCount += steps * this.running.length;
+    this.stepsFromMs += steps * this.stepDurationMs;
     this.count -= steps;
   }
 
-  /** The running step is the last one before those who joined or left are looked at. */
-  private cutShort(nowMs: number): void {
-    this.settle(this.stepsBy(nowMs));
+  /** Makes the current step the last one before the batch changes. */
+  private endAfterCurrentStep(nowMs: number): void {
+    this.recordSteps(this.stepsBy(nowMs));
     this.count = Math.min(this.count, 1);
     if (this.count > 0) return;
-    this.begunAtMs = nowMs;
-    this.changed = true;
+    this.stepsFromMs = nowMs;
+    this.isBatchChanged = true;
   }
 
-  private begin(nowMs: number): void {
+  private startSteps(nowMs: number): void {
     const joined = this.joining;
-    this.changed = false;
+    this.isBatchChanged = false;
     this.joining = [];
     this.running.push(...joined);
     if (this.running.length === 0) return;
     let prefillTokens = 0;
     for (const flight of joined) prefillTokens += this.prefill(flight);
     const prefillMs = prefillTokens * this.curve.prefillTokenMs;
-    this.begunAtMs = nowMs;
-    this.eachMs = (stepMs(this.curve, this.running.length) + prefillMs) * this.slowdown;
-    this.count = joined.length > 0 ? 1 : this.leastLeft();
+    this.stepsFromMs = nowMs;
+    this.stepDurationMs = (stepMs(this.curve, this.running.length) + prefillMs) * this.slowdown;
+    this.count = joined.length > 0 ? 1 : this.fewestTokensLeft();
   }
 
-  private leastLeft(): number {
+  private fewestTokensLeft(): number {
     let least = Infinity;
-    for (const { ask, made } of this.running) least = Math.min(least, ask.outputTokens - made);
+    for (const { ask, tokens } of this.running) least = Math.min(least, ask.outputTokens - tokens);
     return least;
   }
 
-  private prefill({ ask, made }: Flight): number {
+  private prefill({ ask, tokens }: Flight): number {
     const hit = this.cache.use(ask.prefix, ask.prefixTokens) ? ask.prefixTokens : 0;
-    return ask.promptTokens - hit + made;
+    return ask.promptTokens - hit + tokens;
   }
 }
--- a/bench/experiment/simupstream.ts
+++ b/bench/experiment/simupstream.ts
@@ -19,18 +19,18 @@
   readonly id: string;
   readonly group: Group;
   readonly queue: QueuePolicy;
-  /** Absent for a plain service. */
+  /** Undefined for a plain service. */
   readonly engine: SimEngine | undefined;
   readonly flights: Map<string, Flight>;
   readonly residents: Map<string, SimResident>;
   readonly memoryBytes: number;
   freeBytes: number;
   alive: boolean;
-  /** Rises when it is lost, so that events of its former life are dropped. */
-  life: number;
+  /** Increases when the upstream is lost, so that pending events of the former incarnation are dropped. */
+  incarnation: number;
   wakeAtMs: number;
   engineDueAtMs: number;
   running: number;
   queued: number;
-  pacedAtMs: number;
+  paceAtMs: number;
 }
--- a/bench/experiment/spread.ts
+++ b/bench/experiment/spread.ts
@@ -1,4 +1,4 @@
-/** Median and range of what the seeds gave. */
+/** Median and range over the seeds. */
 export interface Spread {
   readonly median: number;
   readonly least: number;
--- a/bench/experiment/study/crowding.ts
+++ b/bench/experiment/study/crowding.ts
@@ -1,31 +1,31 @@
 import { defaultCurve } from '../../../standin/index.js';
-import type { Ask } from '../ask.js';
+import type { WorkloadRequest } from '../workloadrequest.js';
 import { baselines } from '../baselines.js';
 import { costMs, prefixTokensOf } from '../cost.js';
 import type { Deployment } from '../deployment.js';
-import { ours } from '../ours.js';
+import { corePolicies } from '../corepolicies.js';
 import type { PolicySet } from '../policyset.js';
 import { spreadOf } from '../spreadof.js';
-import { asksOf, trial } from '../trial.js';
+import { requestsOf, trial } from '../trial.js';
 import type { Scale } from './scale.js';
 
 const LONG_LOAD = 2;
-/** Load of the whole mix, of which the urgent requests are kept. */
+/** Loads of the full mix, from which only the urgent requests are kept. */
 const LOADS = [1, 2, 3, 4, 5];
 
-const isUrgent = ({ kind, model }: Ask) => kind.priority === 'urgent' && model !== '';
-const isUrgentOrLong = (ask: Ask) => isUrgent(ask) || ask.kind.longJob === true;
+const isUrgent = ({ kind, model }: WorkloadRequest) => kind.priority === 'urgent' && model !== '';
+const isUrgentOrLong = (ask: WorkloadRequest) => isUrgent(ask) || ask.kind.longJob === true;
 
-/** Part of the engines' work that is for long jobs in the usual mix. */
-function longPart({ document, traffic }: Deployment): number {
+/** Returns the fraction of the engines' work that long jobs take in the usual mix. */
+function longJobFraction({ document, traffic }: Deployment): number {
   let long = 0;
   let all = 0;
-  for (const one of traffic) {
-    if (one.serviceMs > 0) continue;
-    const prefixTokens = prefixTokensOf(one.promptTokens);
-    const cost = one.part * costMs(defaultCurve, { ...one, prefixTokens });
+  for (const kindTraffic of traffic) {
+    if (kindTraffic.serviceMs > 0) continue;
+    const prefixTokens = prefixTokensOf(kindTraffic.promptTokens);
+    const cost = kindTraffic.fraction * costMs(defaultCurve, { ...kindTraffic, prefixTokens });
     all += cost;
-    if (document.kinds.find(({ name }) => name === one.kind)?.longJob) long += cost;
+    if (document.kinds.find(({ name }) => name === kindTraffic.kind)?.longJob) long += cost;
   }
   return long / all;
 }
@@ -36,12 +36,12 @@
   load: number,
   { seeds, durationMs }: Scale,
 ) {
-  const longFactor = LONG_LOAD / (load * longPart(deployment));
+  const longFactor = LONG_LOAD / (load * longJobFraction(deployment));
   const shares = seeds.map((seed) => {
     const options = { deployment, seed, load, durationMs, longFactor };
-    const asks = asksOf(options);
-    const inTime = (keep: (ask: Ask) => boolean) => {
-      const { urgent } = trial(policies, options, asks.filter(keep)).priorities;
+    const requests = requestsOf(options);
+    const inTime = (keep: (ask: WorkloadRequest) => boolean) => {
+      const { urgent } = trial(policies, options, requests.filter(keep)).priorities;
       return urgent ? urgent.inTime / urgent.asked : 1;
     };
     return { alone: inTime(isUrgent), crowded: inTime(isUrgentOrLong) };
@@ -52,13 +52,13 @@
   };
 }
 
-/** Urgent work alone, and beside long jobs that offer twice what the hardware can do. */
+/** Compares urgent requests alone with urgent requests beside long jobs at twice the hardware's capacity. */
 export function crowding(deployment: Deployment, scale: Scale) {
   const baseline = baselines.find(
     ({ name }) => name === 'fifo, expiring + least connections + static',
   )!;
   const rows = LOADS.flatMap((load) =>
-    [ours, baseline].map((policies) => ({
+    [corePolicies, baseline].map((policies) => ({
       load,
       name: policies.name,
       ...urgentShares(policies, deployment, load, scale),
--- a/bench/experiment/study/scale.ts
+++ b/bench/experiment/study/scale.ts
@@ -1,4 +1,4 @@
-/** How large a study is. */
+/** Size of a study. */
 export interface Scale {
   readonly seeds: readonly number[];
   readonly durationMs: number;
--- a/bench/experiment/study/sweep.ts
+++ b/bench/experiment/study/sweep.ts
@@ -1,25 +1,25 @@
 import { baselines } from '../baselines.js';
 import { bound } from '../bound.js';
 import type { Deployment } from '../deployment.js';
-import { ours } from '../ours.js';
+import { corePolicies } from '../corepolicies.js';
 import { spreadOf } from '../spreadof.js';
-import { asksOf, trial, type TrialResult } from '../trial.js';
+import { requestsOf, trial, type TrialResult } from '../trial.js';
 import type { Scale } from './scale.js';
 
-const POLICIES = [ours, ...baselines];
+const POLICIES = [corePolicies, ...baselines];
 
-function urgentShare({ priorities }: TrialResult): number {
+function urgentInTimeShare({ priorities }: TrialResult): number {
   const { urgent } = priorities;
   return urgent ? urgent.inTime / urgent.asked : 1;
 }
 
-/** All policies meet the same requests at one load. */
+/** Runs all policies on the same requests at one load. */
 function atLoad(deployment: Deployment, load: number, { seeds, durationMs }: Scale) {
   const runs = seeds.map((seed) => {
     const options = { deployment, seed, load, durationMs };
-    const asks = asksOf(options);
-    const results = POLICIES.map((policies) => trial(policies, options, asks));
-    return { results, bound: bound(deployment, asks, durationMs) };
+    const requests = requestsOf(options);
+    const results = POLICIES.map((policies) => trial(policies, options, requests));
+    return { results, bound: bound(deployment, requests, durationMs) };
   });
   const rows = POLICIES.map(({ name }, index) => {
     const results = runs.map((run) => run.results[index]!);
@@ -28,7 +28,7 @@
       name,
       attainmentPerAcceleratorMinute: of((result) => result.attainmentPerAcceleratorMinute),
       attainedShare: of((result) => result.attained / result.weight),
-      urgentInTime: of(urgentShare),
+      urgentInTime: of(urgentInTimeShare),
       paceKept: of((result) => result.paceKept),
       moves: of((result) => result.moves),
     };
@@ -54,7 +54,7 @@
   };
 }
 
-/** Highest load up to which 99 in 100 urgent requests are in time, in the median of the seeds. */
+/** Highest load up to which 99% of the urgent requests are in time, as the median over the seeds. */
 function urgentLoad(levels: readonly ReturnType<typeof atLoad>[], name: string): number {
   let highest = 0;
   for (const { load, rows } of levels) {
@@ -65,7 +65,7 @@
   return highest;
 }
 
-/** Attainment from low to twice the load that the hardware can do, against every baseline. */
+/** Compares attainment with every baseline, from low load to twice the hardware's capacity. */
 export function sweep(deployment: Deployment, scale: Scale) {
   const levels = scale.loads.map((load) => atLoad(deployment, load, scale));
   const urgentLoads = POLICIES.map(({ name }) => ({ name, load: urgentLoad(levels, name) }));
--- a/bench/experiment/trial.ts
+++ b/bench/experiment/trial.ts
@@ -1,35 +1,39 @@
 import { defaultCurve } from '../../standin/index.js';
-import type { Ask } from './ask.js';
+import type { WorkloadRequest } from './workloadrequest.js';
 import type { Deployment } from './deployment.js';
 import type { Fault } from './fault.js';
 import type { PolicySet } from './policyset.js';
 import { workload, type WorkloadOptions } from './workload.js';
 import { World } from './world.js';
 
-/** One workload and what fails on the way. */
+/** Workload and faults of one run. */
 export interface TrialOptions extends Omit<WorkloadOptions, 'curve'> {
   readonly deployment: Deployment;
   readonly faults?: readonly Fault[];
-  /** Keeps only a part of the requests. */
-  readonly keep?: (ask: Ask) => boolean;
+  /** Selects the requests to keep. */
+  readonly keep?: (ask: WorkloadRequest) => boolean;
 }
 
-/** What a run gives. */
+/** Result of one run. */
 export type TrialResult = ReturnType<World['run']>;
 
-/** The requests of a trial. */
-export function asksOf({ deployment, keep, ...options }: TrialOptions): readonly Ask[] {
-  const asks = workload(deployment, { ...options, curve: defaultCurve });
-  return keep ? asks.filter(keep) : asks;
+/** Draws the requests of a run. */
+export function requestsOf({
+  deployment,
+  keep,
+  ...options
+}: TrialOptions): readonly WorkloadRequest[] {
+  const requests = workload(deployment, { ...options, curve: defaultCurve });
+  return keep ? requests.filter(keep) : requests;
 }
 
-/** Runs one set of policies over one workload. */
+/** Runs one set of policies on one workload. */
 export function trial(
   policies: PolicySet,
   options: TrialOptions,
-  asks = asksOf(options),
+  requests = requestsOf(options),
 ): TrialResult {
   const { deployment, durationMs, seed, faults } = options;
-  const run = { deployment, asks, durationMs, seed, faults, curve: defaultCurve };
+  const run = { deployment, requests, durationMs, seed, faults, curve: defaultCurve };
   return new World({ ...run, ...policies }).run();
 }
--- a/bench/experiment/weightqueue.ts
+++ b/bench/experiment/weightqueue.ts
@@ -1,4 +1,4 @@
-/** One load that waits for the weight store, or uses it. */
+/** A load that waits for the weight store or reads from it. */
 export interface PendingLoad {
   readonly index: number;
   readonly model: string;
@@ -6,7 +6,7 @@
   readonly urgency: number;
 }
 
-/** The rate-limited weight store: so many loads begin a second, so many run at once. */
+/** The weight store, limited in loads started per second and in parallel loads. */
 export class WeightQueue {
   private waiting: PendingLoad[] = [];
 
@@ -28,7 +28,7 @@
     this.waiting.sort((a, b) => b.urgency - a.urgency);
   }
 
-  /** Takes the next load that may begin now. */
+  /** Starts the next load and returns it, if the limits allow one now. */
   take(nowMs: number): PendingLoad | undefined {
     if (this.running >= this.parallelLoads || nowMs < this.nextAtMs) return undefined;
     const next = this.waiting.shift();
@@ -38,7 +38,7 @@
     return next;
   }
 
-  /** When to try again because of the rate, or infinity. */
+  /** Time at which the rate allows the next load; infinity if none waits or all parallel loads are in use. */
   retryAtMs(nowMs: number): number {
     if (this.waiting.length === 0 || this.running >= this.parallelLoads) return Infinity;
     return Math.max(nowMs, this.nextAtMs);
@@ -48,12 +48,12 @@
     this.running -= 1;
   }
 
-  /** Forgets what waits for an upstream that has gone. */
+  /** Drops the waiting loads of a lost upstream. */
   drop(index: number): void {
     this.waiting = this.waiting.filter((load) => load.index !== index);
   }
 
-  /** Expected time until a load of this size that is added now would end. */
+  /** Expected time until a load of this size would end if it were added now. */
   expectMs(sizeBytes: number, loadBytesPerMs: number): number {
     const eachMs = sizeBytes / loadBytesPerMs;
     return eachMs + (this.pending / this.parallelLoads) * eachMs;
--- a/bench/experiment/workload.ts
+++ b/bench/experiment/workload.ts
@@ -1,88 +1,88 @@
 import type { Kind } from '../../src/core/document/index.js';
 import type { Curve } from '../../standin/index.js';
-import type { Ask } from './ask.js';
+import type { WorkloadRequest } from './workloadrequest.js';
 import { capacityPerMs, costMs, prefixTokensOf } from './cost.js';
 import type { Deployment, Traffic } from './deployment.js';
 import { popularityOf } from './popularity.js';
 import { Random } from './random.js';
 
 const SLICE_MS = 200;
-const SHIFT_EVERY_MS = 150_000;
-const SHIFT_TAKES_MS = 30_000;
-const SHIFT_SPAN = Math.sqrt(10);
-const BURST_EVERY_MS = 60_000;
-const BURST_MS = 5000;
+const SHIFT_INTERVAL_MS = 150_000;
+const SHIFT_DURATION_MS = 30_000;
+const SHIFT_FACTOR = Math.sqrt(10);
+const BURST_INTERVAL_MS = 60_000;
+const BURST_DURATION_MS = 5000;
 const BURST_FACTOR = 6;
-/** Calls of a plain service come from all clients together, which evens them out. */
+/** Plain services receive calls from all clients together, so their bursts are smaller. */
 const PLAIN_BURST_FACTOR = 2;
 const PREFIXES_PER_MODEL = 6;
-const PROBE_EVERY_MS = 20_000;
+const PROBE_INTERVAL_MS = 20_000;
 
-/** What a workload is drawn from. */
+/** Parameters of a workload. */
 export interface WorkloadOptions {
   readonly seed: number;
-  /** 1 offers what the hardware can do. */
+  /** Offered load as a multiple of the hardware's capacity. */
   readonly load: number;
   readonly durationMs: number;
   readonly curve: Curve;
-  /** Multiplies what the largest customer sends; 1 if left out. */
+  /** Multiplies the requests of the largest customer; 1 by default. */
   readonly largestFactor?: number;
-  /** Multiplies the long jobs; 1 if left out. */
+  /** Multiplies the long jobs; 1 by default. */
   readonly longFactor?: number;
-  /** Demand for each model moves up to tenfold; true if left out. */
+  /** Demand for each model changes by up to ten times; true by default. */
   readonly shifts?: boolean;
-  /** Every model is asked for at least this often, so that its reach can be seen; true if left out. */
+  /** Sends at least one request per model every 20 s, so that its availability is observed; true by default. */
   readonly probes?: boolean;
 }
 
-/** One source of requests: one model, one kind, one group of customers. */
+/** A source of requests: one model, one kind, and the largest customer or all others. */
 interface Source {
   readonly model: string;
   readonly traffic: Traffic;
   readonly kind: Kind;
   readonly largest: boolean;
-  /** Mean requests a ms. */
+  /** Mean requests per ms. */
   readonly rate: number;
 }
 
-/** Demand at a time of the run, as a multiple of the mean. */
+/** Demand at a given time, as a multiple of the mean. */
 type Multiplier = (atMs: number) => number;
 
 interface Demand {
-  /** Moves tenfold within half a minute now and then. */
+  /** Changes by up to ten times within 30 s, at random times. */
   readonly level: Multiplier;
-  /** Short and high. */
+  /** Short bursts of high demand. */
   readonly burst: Multiplier;
 }
 
 const STEADY: Multiplier = () => 1;
 
 function levelOf({ durationMs }: WorkloadOptions, random: Random): Multiplier {
-  const draw = () => Math.exp(random.between(-1, 1) * Math.log(SHIFT_SPAN));
-  const shifts = [{ atMs: -SHIFT_TAKES_MS, level: draw() }];
+  const draw = () => Math.exp(random.between(-1, 1) * Math.log(SHIFT_FACTOR));
+  const shifts = [{ atMs: -SHIFT_DURATION_MS, level: draw() }];
   for (let atMs = 0; atMs < durationMs;) {
-    atMs += random.exponential(SHIFT_EVERY_MS);
+    atMs += random.exponential(SHIFT_INTERVAL_MS);
     shifts.push({ atMs, level: draw() });
   }
   return (atMs) => {
     const index = shifts.findLastIndex((shift) => shift.atMs <= atMs);
     const to = shifts[index]!;
     const from = shifts[Math.max(0, index - 1)]!;
-    const part = Math.min(1, (atMs - to.atMs) / SHIFT_TAKES_MS);
-    return from.level + (to.level - from.level) * part;
+    const fraction = Math.min(1, (atMs - to.atMs) / SHIFT_DURATION_MS);
+    return from.level + (to.level - from.level) * fraction;
   };
 }
 
 function burstOf({ durationMs }: WorkloadOptions, factor: number, random: Random): Multiplier {
   const starts: number[] = [];
   for (let atMs = 0; atMs < durationMs;) {
-    atMs += random.exponential(BURST_EVERY_MS);
+    atMs += random.exponential(BURST_INTERVAL_MS);
     starts.push(atMs);
   }
-  const burstPart = 1 - Math.exp(-BURST_MS / BURST_EVERY_MS);
-  const base = 1 / (1 + (factor - 1) * burstPart);
+  const burstFraction = 1 - Math.exp(-BURST_DURATION_MS / BURST_INTERVAL_MS);
+  const base = 1 / (1 + (factor - 1) * burstFraction);
   return (atMs) => {
-    const burst = starts.some((startMs) => atMs >= startMs && atMs < startMs + BURST_MS);
+    const burst = starts.some((startMs) => atMs >= startMs && atMs < startMs + BURST_DURATION_MS);
     return burst ? base * factor : base;
   };
 }
@@ -100,7 +100,7 @@
   return costMs(curve, { ...traffic, prefixTokens });
 }
 
-/** Requests a ms that would just fill the hardware, for engines and for plain services. */
+/** Request rates per ms that fill the capacity of the engines and of the plain services. */
 function fullRates({ document, traffic }: Deployment, curve: Curve) {
   const count = (type: 'engine' | 'plain') =>
     document.groups
@@ -113,34 +113,34 @@
   const mean = (plain: boolean) =>
     traffic
       .filter(({ serviceMs }) => serviceMs > 0 === plain)
-      .reduce((sum, one) => sum + one.part * meanCostMs(curve, one), 0);
+      .reduce((sum, kindTraffic) => sum + kindTraffic.fraction * meanCostMs(curve, kindTraffic), 0);
   return { engine: count('engine') / mean(false), plain: count('plain') / mean(true) };
 }
 
 function sourcesOf(deployment: Deployment, options: WorkloadOptions): readonly Source[] {
-  const { document, traffic, largestPart } = deployment;
+  const { document, traffic, largestFraction } = deployment;
   const full = fullRates(deployment, options.curve);
   const popularity = popularityOf(deployment, options.seed);
   const sources: Source[] = [];
-  for (const one of traffic) {
-    const kind = document.kinds.find(({ name }) => name === one.kind)!;
+  for (const kindTraffic of traffic) {
+    const kind = document.kinds.find(({ name }) => name === kindTraffic.kind)!;
     const models = document.models.filter(({ defaultKind }) => {
       const own = document.kinds.find(({ name }) => name === defaultKind)!;
       return kind.longJob ? own.priority === 'normal' : defaultKind === kind.name;
     });
     const sum = models.reduce((total, { id }) => total + popularity.get(id)!, 0);
     const targets =
-      one.serviceMs > 0
-        ? [{ model: '', part: 1 }]
-        : models.map(({ id }) => ({ model: id, part: popularity.get(id)! / sum }));
-    const fullRate = one.serviceMs > 0 ? full.plain : full.engine;
+      kindTraffic.serviceMs > 0
+        ? [{ model: '', fraction: 1 }]
+        : models.map(({ id }) => ({ model: id, fraction: popularity.get(id)! / sum }));
+    const fullRate = kindTraffic.serviceMs > 0 ? full.plain : full.engine;
     const factor = kind.longJob ? (options.longFactor ?? 1) : 1;
-    for (const { model, part } of targets) {
-      const rate = options.load * fullRate * one.part * part * factor;
-      const source = { model, traffic: one, kind };
-      const largestRate = rate * largestPart * (options.largestFactor ?? 1);
+    for (const { model, fraction } of targets) {
+      const rate = options.load * fullRate * kindTraffic.fraction * fraction * factor;
+      const source = { model, traffic: kindTraffic, kind };
+      const largestRate = rate * largestFraction * (options.largestFactor ?? 1);
       sources.push({ ...source, largest: true, rate: largestRate });
-      sources.push({ ...source, largest: false, rate: rate * (1 - largestPart) });
+      sources.push({ ...source, largest: false, rate: rate * (1 - largestFraction) });
     }
   }
   return sources;
@@ -153,8 +153,8 @@
   return count;
 }
 
-/** What keeps the sum of all models' levels at its mean. */
-function balance(
+/** Returns the factor that keeps the sum of all models' levels at its mean. */
+function correctionAt(
   demands: ReadonlyMap<string, Demand>,
   popularity: ReadonlyMap<string, number>,
   atMs: number,
@@ -165,7 +165,10 @@
 }
 
 /** Draws the requests of one run, in order of arrival. */
-export function workload(deployment: Deployment, options: WorkloadOptions): readonly Ask[] {
+export function workload(
+  deployment: Deployment,
+  options: WorkloadOptions,
+): readonly WorkloadRequest[] {
   const { seed, durationMs } = options;
   const popularity = popularityOf(deployment, seed);
   const models = deployment.document.models.map(({ id }) => id as string);
@@ -173,10 +176,10 @@
   const smallCustomers = deployment.document.customers.slice(1);
   const largestCustomer = deployment.document.customers[0]!.id;
   const slices = Math.ceil(durationMs / SLICE_MS);
-  const balances = Array.from({ length: slices }, (_, at) =>
-    balance(demands, popularity, at * SLICE_MS),
+  const corrections = Array.from({ length: slices }, (_, at) =>
+    correctionAt(demands, popularity, at * SLICE_MS),
   );
-  const asks: Omit<Ask, 'requestId'>[] = [];
+  const requests: Omit<WorkloadRequest, 'requestId'>[] = [];
   for (const source of sourcesOf(deployment, options)) {
     const { model, traffic, kind, largest, rate } = source;
     const name = `${model} ${kind.name} ${largest}`;
@@ -184,7 +187,7 @@
     const { level, burst } = demands.get(model)!;
     const draw = (atMs: number) => {
       const promptTokens = traffic.promptTokens > 0 ? random.size(traffic.promptTokens) : 0;
-      asks.push({
+      requests.push({
         atMs,
         kind,
         model,
@@ -200,18 +203,18 @@
     };
     for (let at = 0; at < slices; at += 1) {
       const atMs = at * SLICE_MS;
-      const even = model ? balances[at]! : 1;
-      const mean = rate * SLICE_MS * level(atMs) * burst(atMs) * even;
+      const correction = model ? corrections[at]! : 1;
+      const mean = rate * SLICE_MS * level(atMs) * burst(atMs) * correction;
       for (let left = poisson(random, mean); left > 0; left -= 1) {
         draw(atMs + random.next() * SLICE_MS);
       }
     }
     const probes = options.probes !== false && model && !largest && !kind.longJob;
-    for (let atMs = random.next() * PROBE_EVERY_MS; probes && atMs < durationMs;) {
+    for (let atMs = random.next() * PROBE_INTERVAL_MS; probes && atMs < durationMs;) {
       draw(atMs);
-      atMs += PROBE_EVERY_MS;
+      atMs += PROBE_INTERVAL_MS;
     }
   }
-  asks.sort((a, b) => a.atMs - b.atMs);
-  return asks.map((ask, index) => ({ ...ask, requestId: `r${index}` }));
+  requests.sort((a, b) => a.atMs - b.atMs);
+  return requests.map((ask, index) => ({ ...ask, requestId: `r${index}` }));
 }
--- a/bench/experiment/ask.ts
+++ b/bench/experiment/workloadrequest.ts
@@ -1,7 +1,7 @@
 import type { Kind } from '../../src/core/document/index.js';
 
-/** One request of a workload, with what only its engine will find out (`outputTokens`). */
-export interface Ask {
+/** One request of a workload. `outputTokens` is known only to the engine that runs it. */
+export interface WorkloadRequest {
   readonly requestId: string;
   readonly atMs: number;
   readonly customer: string;
@@ -10,9 +10,9 @@
   readonly model: string;
   readonly promptTokens: number;
   readonly outputTokens: number;
-  /** Names the leading part of the prompt that other requests share. */
+  /** Identifies the leading part of the prompt that other requests share. */
   readonly prefix: string;
   readonly prefixTokens: number;
-  /** Time that a plain service takes; 0 for engines. */
+  /** Service time at a plain service; 0 for engines. */
   readonly serviceMs: number;
 }
--- a/bench/experiment/world.ts
+++ b/bench/experiment/world.ts
@@ -1,44 +1,44 @@
-/* eslint no-param-reassign: off -- a simulated world changes its own records in place */
-import { Agenda } from './agenda.js';
-import type { Ask } from './ask.js';
+/* eslint no-param-reassign: off -- a simulated world changes its upstream records in place */
+import { Scheduler } from './scheduler.js';
+import type { WorkloadRequest } from './workloadrequest.js';
 import { createUpstreams } from './createupstreams.js';
 import type { Fault } from './fault.js';
 import type { Flight } from './flight.js';
-import { Floor } from './floor.js';
-import { Memories } from './memories.js';
+import { RequestRunner } from './requestrunner.js';
+import { Residency } from './residency.js';
 import type { ClusterView, PlacementPolicy } from './placementpolicy.js';
 import { RefusalLog } from './refusallog.js';
 import type { Candidate, RouteOutcome, RoutePolicy } from './routepolicy.js';
-import type { SeenLoad } from './queuepolicy.js';
+import type { ReportedLoad } from './queuepolicy.js';
 import type { RunOptions } from './runoptions.js';
 import type { SimUpstream } from './simupstream.js';
-import { Tally } from './tally.js';
+import { RunStatistics } from './runstatistics.js';
 
-const MISSING_AGAIN_MS = 1000;
+const REORDER_MS = 1000;
 const DEFAULT_ATTEMPTS = 2;
-const NO_RESIDENT = new Set<number>();
+const NO_UPSTREAMS = new Set<number>();
 
 interface Entry {
   readonly route: RoutePolicy;
-  /** Last load heard from each upstream. */
-  readonly heard: Map<number, SeenLoad>;
+  /** Last reported load of each upstream. */
+  readonly heard: Map<number, ReportedLoad>;
 }
 
 interface Parked {
   readonly flights: Set<Flight>;
-  askedAtMs: number;
+  lastOrderAtMs: number;
 }
 
-/** What was asked of one model since the last plan. */
+/** Demand for one model since the last plan. */
 interface Demand {
   asked: number;
   refused: number;
   serviceMs: number;
 }
 
-/** Runs policies over a workload in virtual time. */
+/** Simulates entries, upstreams and a planner that serve a workload under the given policies. */
 export class World {
-  private readonly agenda = new Agenda();
+  private readonly scheduler = new Scheduler();
 
   private readonly upstreams: readonly SimUpstream[];
 
@@ -46,62 +46,62 @@
 
   private readonly placement: PlacementPolicy;
 
-  private readonly memories: Memories;
+  private readonly residency: Residency;
 
-  private readonly floor: Floor;
+  private readonly runner: RequestRunner;
 
   private readonly parked = new Map<string, Parked>();
 
-  private readonly refusedAt = new Map<string, number>();
+  private readonly refusalOrderAtMs = new Map<string, number>();
 
   private readonly demand = new Map<string, Demand>();
 
   private readonly logs: readonly RefusalLog[];
 
-  private readonly tally: Tally;
+  private readonly statistics: RunStatistics;
 
   private plannerUp = true;
 
   constructor(private readonly options: RunOptions) {
     const { deployment, seed } = options;
-    this.tally = new Tally(options.durationMs);
-    this.upstreams = createUpstreams(options, (own) => ({
-      first: (flight) => this.floor.first(own(), flight),
-      done: (flight) => this.floor.finish(own(), flight),
+    this.statistics = new RunStatistics(options.durationMs);
+    this.upstreams = createUpstreams(options, (upstream) => ({
+      firstToken: (flight) => this.runner.firstToken(upstream(), flight),
+      done: (flight) => this.runner.finish(upstream(), flight),
     }));
     this.logs = this.upstreams.map(() => new RefusalLog());
-    this.floor = this.createFloor();
-    this.memories = this.createMemories();
+    this.runner = this.createRunner();
+    this.residency = this.createResidency();
     const zones = [...new Set(deployment.document.groups.map((group) => group.availabilityZone))];
     this.entries = Array.from({ length: deployment.entries }, (_, entry) => ({
       route: options.route({ entry, availabilityZone: zones[entry % zones.length]!, seed }),
-      heard: new Map<number, SeenLoad>(),
+      heard: new Map<number, ReportedLoad>(),
     }));
     this.placement = options.placement(deployment, seed);
   }
 
   run() {
-    const begun = process.cpuUsage();
-    for (const order of this.placement.start(this.view())) this.memories.install(order);
+    const cpuAtStart = process.cpuUsage();
+    for (const order of this.placement.start(this.view())) this.residency.install(order);
     this.schedulePlan();
     for (const fault of this.options.faults ?? []) {
-      this.agenda.at(fault.atMs, () => this.fail(fault));
+      this.scheduler.at(fault.atMs, () => this.fail(fault));
     }
-    this.scheduleAsk(0);
-    this.agenda.run();
-    const used = process.cpuUsage(begun);
+    this.scheduleArrival(0);
+    this.scheduler.run();
+    const used = process.cpuUsage(cpuAtStart);
     return this.result((used.user + used.system) / 1e6);
   }
 
-  private createFloor(): Floor {
-    const { options: run, agenda, upstreams, logs, tally } = this;
-    return new Floor({
+  private createRunner(): RequestRunner {
+    const { options: run, scheduler, upstreams, logs, statistics } = this;
+    return new RequestRunner({
       run,
-      agenda,
+      scheduler,
       upstreams,
       logs,
-      tally,
-      memories: () => this.memories,
+      statistics,
+      residency: () => this.residency,
       learn: (flight, type, load) => this.learn(flight, type, load),
       again: (flight, reason) => this.again(flight, reason),
       served: ({ model }, tookMs) => {
@@ -110,15 +110,15 @@
     });
   }
 
-  private createMemories(): Memories {
-    const { options: run, agenda, upstreams, tally } = this;
-    return new Memories({
+  private createResidency(): Residency {
+    const { options: run, scheduler, upstreams, statistics } = this;
+    return new Residency({
       run,
-      agenda,
+      scheduler,
       upstreams,
-      tell: (upstream, event) => this.floor.tell(upstream, event),
-      moved: (type, nowMs) => tally.moved(type, nowMs),
-      arrived: (model) => this.unpark(model),
+      dispatch: (upstream, event) => this.runner.dispatch(upstream, event),
+      moved: (type, nowMs) => statistics.recordMove(type, nowMs),
+      modelReady: (model) => this.unpark(model),
     });
   }
 
@@ -128,34 +128,34 @@
       (sum, group) => sum + group.accelerators * group.upstreams.length,
       0,
     );
-    const summary = this.tally.summary(accelerators);
-    const hindsight = { ...this.judge(true), plain: this.judge(false) };
-    return { ...summary, hindsight, events: this.agenda.events, cpuSeconds };
+    const summary = this.statistics.summary(accelerators);
+    const hindsight = { ...this.evaluateRefusals(true), plain: this.evaluateRefusals(false) };
+    return { ...summary, hindsight, events: this.scheduler.events, cpuSeconds };
   }
 
-  /** Whether the refusals of engines, or of plain services, were true. */
-  private judge(engines: boolean) {
+  /** Counts true and untrue refusals of the engines, or of the plain services. */
+  private evaluateRefusals(engines: boolean) {
     let refused = 0;
     let untrue = 0;
     for (const [index, log] of this.logs.entries()) {
       if ((this.upstreams[index]!.engine !== undefined) !== engines) continue;
-      const judged = log.judge();
-      refused += judged.refused;
-      untrue += judged.untrue;
+      const evaluated = log.evaluate();
+      refused += evaluated.refused;
+      untrue += evaluated.untrue;
     }
     return { refused, untrue, trueShare: refused > 0 ? 1 - untrue / refused : 1 };
   }
 
-  private scheduleAsk(index: number): void {
-    const ask = this.options.asks[index];
+  private scheduleArrival(index: number): void {
+    const ask = this.options.requests[index];
     if (!ask) return;
-    this.agenda.at(ask.atMs, () => {
-      this.scheduleAsk(index + 1);
+    this.scheduler.at(ask.atMs, () => {
+      this.scheduleArrival(index + 1);
       this.arrive(ask, index, false);
     });
   }
 
-  private arrive(ask: Ask, index: number, cameBack: boolean): void {
+  private arrive(ask: WorkloadRequest, index: number, isRetry: boolean): void {
     const flight: Flight = {
       ask,
       entry: index % this.entries.length,
@@ -165,11 +165,11 @@
       phase: 'routing',
       startedAtMs: -1,
       firstAtMs: -1,
-      made: 0,
-      madeAtStart: 0,
+      tokens: 0,
+      tokensAtStart: 0,
       preemptions: 0,
       retryAfterMs: 0,
-      cameBack,
+      isRetry,
     };
     if (ask.model) this.demandOf(ask.model).asked += 1;
     this.route(flight);
@@ -184,9 +184,9 @@
   private route(flight: Flight, reason = 'no-upstream'): void {
     const { heard, route } = this.entries[flight.entry]!;
     const candidates = this.candidates(flight, heard);
-    const choice = route.choose(flight.ask, candidates, this.agenda.nowMs);
+    const choice = route.choose(flight.ask, candidates, this.scheduler.nowMs);
     if (choice) {
-      this.floor.offer(flight, this.upstreams[choice.index]!);
+      this.runner.offer(flight, this.upstreams[choice.index]!);
       return;
     }
     if (flight.tried.length > 0 || !flight.ask.model) {
@@ -196,7 +196,7 @@
     this.park(flight);
   }
 
-  private candidates(flight: Flight, heard: Map<number, SeenLoad>): readonly Candidate[] {
+  private candidates(flight: Flight, heard: Map<number, ReportedLoad>): readonly Candidate[] {
     const { model } = flight.ask;
     const candidates: Candidate[] = [];
     const push = (index: number, phase: Candidate['phase']) => {
@@ -206,34 +206,37 @@
       candidates.push({ index, id, availabilityZone, phase, load: heard.get(index) });
     };
     if (model) {
-      for (const index of this.memories.ready.get(model) ?? NO_RESIDENT) push(index, 'ready');
-      for (const index of this.memories.loading.get(model) ?? NO_RESIDENT) push(index, 'loading');
+      for (const index of this.residency.ready.get(model) ?? NO_UPSTREAMS) push(index, 'ready');
+      for (const index of this.residency.loading.get(model) ?? NO_UPSTREAMS) push(index, 'loading');
       return candidates;
     }
     for (const { index, engine } of this.upstreams) if (!engine) push(index, 'ready');
     return candidates;
   }
 
-  /** The model is nowhere: one load for all who ask, and they wait while their deadlines allow. */
+  /** Orders one load of a model that is in no upstream's memory and parks its requests until the deadline. */
   private park(flight: Flight): void {
     const { model } = flight.ask;
-    const parked = this.parked.get(model) ?? { flights: new Set<Flight>(), askedAtMs: -Infinity };
+    const parked = this.parked.get(model) ?? {
+      flights: new Set<Flight>(),
+      lastOrderAtMs: -Infinity,
+    };
     this.parked.set(model, parked);
     if (
-      this.agenda.nowMs - parked.askedAtMs >= MISSING_AGAIN_MS &&
-      !this.memories.loading.get(model)?.size
+      this.scheduler.nowMs - parked.lastOrderAtMs >= REORDER_MS &&
+      !this.residency.loading.get(model)?.size
     ) {
-      parked.askedAtMs = this.agenda.nowMs;
-      this.memories.order(this.placement.missing(model, this.view(), this.agenda.nowMs));
+      parked.lastOrderAtMs = this.scheduler.nowMs;
+      this.residency.order(this.placement.missing(model, this.view(), this.scheduler.nowMs));
     }
-    const expected = this.memories.expectedReadyAt(model);
+    const expected = this.residency.expectedReadyAtMs(model);
     if (expected > flight.deadlineAtMs) {
       this.refuse(flight, 'model-absent');
       return;
     }
     flight.phase = 'parked';
     parked.flights.add(flight);
-    this.agenda.at(flight.deadlineAtMs, () => {
+    this.scheduler.at(flight.deadlineAtMs, () => {
       if (parked.flights.delete(flight)) this.refuse(flight, 'model-absent');
     });
   }
@@ -248,64 +251,64 @@
 
   private refuse(flight: Flight, reason: string): void {
     flight.phase = 'ended';
-    if (flight.ask.model) this.noteRefusal(flight.ask.model);
-    this.tally.refused(flight, reason, this.agenda.nowMs);
-    if (this.options.comeBack) this.comeBack(flight);
+    if (flight.ask.model) this.recordRefusal(flight.ask.model);
+    this.statistics.refused(flight, reason, this.scheduler.nowMs);
+    if (this.options.retriesRefused) this.retryLater(flight);
   }
 
-  private comeBack({ ask, entry, retryAfterMs, cameBack }: Flight): void {
-    if (cameBack || retryAfterMs === 0) return;
+  private retryLater({ ask, entry, retryAfterMs, isRetry }: Flight): void {
+    if (isRetry || retryAfterMs === 0) return;
     const again = {
       ...ask,
       requestId: `${ask.requestId} again`,
-      atMs: this.agenda.nowMs + retryAfterMs,
+      atMs: this.scheduler.nowMs + retryAfterMs,
     };
-    this.agenda.at(again.atMs, () => this.arrive(again, entry, true));
+    this.scheduler.at(again.atMs, () => this.arrive(again, entry, true));
   }
 
-  private noteRefusal(model: string): void {
+  private recordRefusal(model: string): void {
     this.demandOf(model).refused += 1;
-    const askedAtMs = this.refusedAt.get(model) ?? -Infinity;
-    const busy = (this.memories.loading.get(model)?.size ?? 0) > 0;
-    if (!this.placement.refused || busy || this.agenda.nowMs - askedAtMs < MISSING_AGAIN_MS) return;
-    this.refusedAt.set(model, this.agenda.nowMs);
-    this.memories.order(this.placement.refused(model, this.view(), this.agenda.nowMs));
+    const lastMs = this.refusalOrderAtMs.get(model) ?? -Infinity;
+    const busy = (this.residency.loading.get(model)?.size ?? 0) > 0;
+    if (!this.placement.refused || busy || this.scheduler.nowMs - lastMs < REORDER_MS) return;
+    this.refusalOrderAtMs.set(model, this.scheduler.nowMs);
+    this.residency.order(this.placement.refused(model, this.view(), this.scheduler.nowMs));
   }
 
-  private learn(flight: Flight, type: RouteOutcome['type'], load: SeenLoad | undefined): void {
+  private learn(flight: Flight, type: RouteOutcome['type'], load: ReportedLoad | undefined): void {
     const { heard, route } = this.entries[flight.entry]!;
     if (load) heard.set(flight.upstream, load);
-    route.learn({ index: flight.upstream, ask: flight.ask, type, load }, this.agenda.nowMs);
+    route.learn({ index: flight.upstream, ask: flight.ask, type, load }, this.scheduler.nowMs);
   }
 
-  /** An upstream gave the request back unrun. */
+  /** Retries a request that an upstream returned without running it, or refuses it. */
   private again(flight: Flight, reason: string): void {
     flight.tried.push(flight.upstream);
     const attempts = this.options.attempts ?? DEFAULT_ATTEMPTS;
-    const late = flight.firstAtMs < 0 && this.agenda.nowMs >= flight.deadlineAtMs;
+    const late = flight.firstAtMs < 0 && this.scheduler.nowMs >= flight.deadlineAtMs;
     if (late || flight.tried.length >= attempts) this.refuse(flight, reason);
     else this.route(flight, reason);
   }
 
   private schedulePlan(): void {
-    const atMs = this.agenda.nowMs + this.placement.intervalMs;
+    const atMs = this.scheduler.nowMs + this.placement.intervalMs;
     if (atMs > this.options.durationMs) return;
-    this.agenda.at(atMs, () => {
+    this.scheduler.at(atMs, () => {
       this.schedulePlan();
       if (!this.plannerUp) return;
-      const orders = this.placement.plan(this.view(), this.agenda.nowMs);
+      const orders = this.placement.plan(this.view(), this.scheduler.nowMs);
       for (const demand of this.demand.values()) {
         Object.assign(demand, { asked: 0, refused: 0, serviceMs: 0 });
       }
-      this.memories.order(orders);
+      this.residency.order(orders);
     });
   }
 
   private view(): ClusterView {
     const engines = this.upstreams.filter(({ engine }) => engine);
     return {
-      storeUp: this.memories.storeUp,
-      loadsPending: this.memories.pending,
+      storeUp: this.residency.storeUp,
+      loadsPending: this.residency.pending,
       demand: [...this.demand].map(([model, demand]) => ({
         model,
         askedCount: demand.asked,
@@ -323,14 +326,14 @@
         freeBytes: upstream.freeBytes,
         running: upstream.running,
         queued: upstream.queued,
-        slots: upstream.queue.load(this.agenda.nowMs).slots,
+        slots: upstream.queue.load(this.scheduler.nowMs).slots,
         residents: [...upstream.residents.values()].map((resident) => ({ ...resident })),
       })),
     };
   }
 
   private fail(fault: Fault): void {
-    const acts: Readonly<Record<Fault['type'], () => void>> = {
+    const actions: Readonly<Record<Fault['type'], () => void>> = {
       'planner-lost': () => {
         this.plannerUp = false;
       },
@@ -338,43 +341,43 @@
         this.plannerUp = true;
       },
       'store-lost': () => {
-        this.memories.storeUp = false;
+        this.residency.storeUp = false;
       },
       'store-back': () => {
-        this.memories.storeUp = true;
+        this.residency.storeUp = true;
       },
-      'zone-lost': () => this.inZone(fault, (upstream) => this.lose(upstream)),
+      'zone-lost': () => this.forZone(fault, (upstream) => this.lose(upstream)),
       'zone-back': () =>
-        this.inZone(fault, (upstream) => {
+        this.forZone(fault, (upstream) => {
           Object.assign(upstream, { alive: true });
         }),
       'engines-slow': () =>
-        this.inZone(fault, ({ engine }) => {
+        this.forZone(fault, ({ engine }) => {
           if (engine && 'factor' in fault) engine.slowdown = fault.factor;
         }),
     };
-    acts[fault.type]();
+    actions[fault.type]();
   }
 
-  private inZone(fault: Fault, act: (upstream: SimUpstream) => void): void {
+  private forZone(fault: Fault, act: (upstream: SimUpstream) => void): void {
     if (!('zone' in fault)) return;
     for (const upstream of this.upstreams) {
       if (!fault.zone || upstream.group.availabilityZone === fault.zone) act(upstream);
     }
   }
 
-  /** Its upstream has died: what is repeatable goes on elsewhere. */
-  private orphan(flight: Flight): void {
+  /** Retries a request of a lost upstream elsewhere if it was queued or is repeatable; else counts it as lost. */
+  private failOver(flight: Flight): void {
     this.learn(flight, 'broken', undefined);
     if (flight.phase === 'queued' || flight.ask.kind.repeatable) {
       this.again(flight, 'no-upstream');
       return;
     }
     flight.phase = 'ended';
-    this.tally.lost(flight, this.agenda.nowMs);
+    this.statistics.lost(flight, this.scheduler.nowMs);
   }
 
   private lose(upstream: SimUpstream): void {
-    for (const flight of this.floor.kill(upstream)) this.orphan(flight);
+    for (const flight of this.runner.kill(upstream)) this.failOver(flight);
   }
 }
--- a/bench/forecastbench.ts
+++ b/bench/forecastbench.ts
@@ -2,14 +2,14 @@
 import { Random } from './experiment/index.js';
 
 const STEP_MS = 2_000;
-const AHEAD_STEPS = 5;
+const HORIZON_STEPS = 5;
 const MINUTES = 120;
 const STEPS = (MINUTES * 60_000) / STEP_MS;
 const SEEDS = [1, 2, 3, 4, 5];
-/** Missing demand costs answers; foreseeing too much costs memory only. */
-const UNDER_COST = 4;
+/** An underestimate costs answers, an overestimate only memory. */
+const UNDERESTIMATE_COST = 4;
 
-/** A rate that moves up to tenfold within the hour, with short bursts, counted as Poisson arrivals. */
+/** Poisson arrivals at a rate that changes by up to ten times within the hour, with short bursts. */
 function series(seed: number): readonly number[] {
   const random = new Random(seed, 'forecast');
   const draw = () => 5 * Math.exp(random.between(-1, 1) * Math.log(Math.sqrt(10)));
@@ -39,18 +39,22 @@
   let sum = 0;
   rates.forEach((rate, step) => {
     state = forecaster.observe(state, rate, STEP_MS);
-    const next = rates.slice(step + 1, step + 1 + AHEAD_STEPS);
-    if (next.length < AHEAD_STEPS) return;
-    const seen = next.reduce((total, each) => total + each, 0) / AHEAD_STEPS;
-    const error = seen - forecaster.predict(state, AHEAD_STEPS * STEP_MS);
+    const next = rates.slice(step + 1, step + 1 + HORIZON_STEPS);
+    if (next.length < HORIZON_STEPS) return;
+    const seen = next.reduce((total, each) => total + each, 0) / HORIZON_STEPS;
+    const error = seen - forecaster.predict(state, HORIZON_STEPS * STEP_MS);
     under += Math.max(0, error);
     over += Math.max(0, -error);
     sum += seen;
   });
-  return { missed: under / sum, unneeded: over / sum, cost: (UNDER_COST * under + over) / sum };
+  return {
+    missed: under / sum,
+    unneeded: over / sum,
+    cost: (UNDERESTIMATE_COST * under + over) / sum,
+  };
 }
 
-/** The last level alone, as a baseline. */
+/** Baseline that predicts the last observed rate. */
 const lastLevel: Forecaster<{ readonly level: number }> = {
   start: { level: 0 },
   observe: (_state, rate) => ({ level: rate }),
@@ -72,11 +76,11 @@
   };
 }
 
-/** Forecasters over the same demand, as parts of it: what they missed, and what nobody asked for. */
+/** Compares forecasters on the same demand: the missed and the unneeded forecast as fractions of the demand. */
 export function forecastBench(): Promise<object> {
   return Promise.resolve({
     seeds: SEEDS.length,
-    underCost: UNDER_COST,
+    underCost: UNDERESTIMATE_COST,
     lastLevel: compare(lastLevel),
     holtLog: compare(holtLog),
     peakHold: compare(peakHold),
--- a/bench/placement/study.ts
+++ b/bench/placement/study.ts
@@ -19,19 +19,19 @@
 const DEPLOYMENTS = [agency, reenvio];
 const LOADS = [0.6, 0.8, 1.0];
 const PENALTIES = [0, 1, 3, 10, 30, 100, 300, 1_000];
-const LOST_MS = 120_000;
-const BACK_MS = 360_000;
+const ZONE_LOST_AT_MS = 120_000;
+const ZONE_BACK_AT_MS = 360_000;
 
-function placed(placement: MakePlacement): Policies {
+function withPlacement(placement: MakePlacement): Policies {
   return { queue: coreQueue, route: coreRoute, placement };
 }
 
-function routed(route: MakeRoute): Policies {
+function withRoute(route: MakeRoute): Policies {
   return { queue: coreQueue, route, placement: corePlacement() };
 }
 
-/** The same policy, but the packing that it starts from knows nothing of what is asked for most. */
-function blind(make: MakePlacement): MakePlacement {
+/** Returns the same policy with an initial placement that ignores popularity. */
+function withoutPopularity(make: MakePlacement): MakePlacement {
   return (deployment, seed) => ({
     ...make(deployment, seed),
     start: (view) => pack(deployment, new Map(), view),
@@ -39,15 +39,15 @@
 }
 
 const PLACEMENTS = {
-  planner: placed(corePlacement()),
-  loadOnDemand: placed(loadOnDemand),
-  static: placed(staticPlacement),
+  planner: withPlacement(corePlacement()),
+  loadOnDemand: withPlacement(loadOnDemand),
+  static: withPlacement(staticPlacement),
 };
 
-/** What fails, by name; the store is down for the whole ten minutes of the run. */
+/** Fault sets by name. The store stays lost for the whole ten minutes of the run. */
 function faultsOf(zone: string): Readonly<Record<string, readonly Fault[]>> {
-  const lost: Fault = { atMs: LOST_MS, type: 'zone-lost', zone };
-  const back: Fault = { atMs: BACK_MS, type: 'zone-back', zone };
+  const lost: Fault = { atMs: ZONE_LOST_AT_MS, type: 'zone-lost', zone };
+  const back: Fault = { atMs: ZONE_BACK_AT_MS, type: 'zone-back', zone };
   const planner: Fault = { atMs: 1, type: 'planner-lost' };
   const store: Fault = { atMs: 1, type: 'store-lost' };
   return {
@@ -60,7 +60,7 @@
   };
 }
 
-/** Each part of the study, by name. */
+/** Parts of the study by name. */
 const PARTS: Readonly<Record<string, () => readonly object[]>> = {
   moves: () =>
     DEPLOYMENTS.flatMap((deployment) =>
@@ -69,9 +69,12 @@
   penalty: () => {
     const sets = PENALTIES.map((movePenalty) => [
       `penalty ${movePenalty}`,
-      placed(blind(corePlacement({ movePenalty }))),
+      withPlacement(withoutPopularity(corePlacement({ movePenalty }))),
+    ]);
+    const all = Object.fromEntries([
+      ...sets,
+      ['static', withPlacement(withoutPopularity(staticPlacement))],
     ]);
-    const all = Object.fromEntries([...sets, ['static', placed(blind(staticPlacement))]]);
     return [series({ deployment: reenvio, load: 0.8 }, all)];
   },
   reach: () =>
@@ -88,9 +91,9 @@
         series(
           { deployment, load },
           {
-            core: routed(coreRoute),
-            leastConnections: routed(leastConnections),
-            roundRobin: routed(roundRobin),
+            core: withRoute(coreRoute),
+            leastConnections: withRoute(leastConnections),
+            roundRobin: withRoute(roundRobin),
           },
         ),
       ),
@@ -100,17 +103,17 @@
       series(
         { deployment, load: 0.8 },
         {
-          smooth: placed(corePlacement({ forecaster: smooth })),
-          peakHold: placed(corePlacement({ forecaster: peakHold })),
-          holtLog: placed(corePlacement({ forecaster: holtLog })),
-          sparesFirst: placed(corePlacement({ spares: 'first' })),
-          noSpares: placed(corePlacement({ spares: 'none' })),
+          smooth: withPlacement(corePlacement({ forecaster: smooth })),
+          peakHold: withPlacement(corePlacement({ forecaster: peakHold })),
+          holtLog: withPlacement(corePlacement({ forecaster: holtLog })),
+          sparesFirst: withPlacement(corePlacement({ spares: 'first' })),
+          noSpares: withPlacement(corePlacement({ spares: 'none' })),
         },
       ),
     ),
 };
 
-/** Placement and routing in virtual time against their baselines; the argument names the part. */
+/** Compares placement and routing with their baselines in virtual time. The argument names the part. */
 export function placementStudy([part = 'moves']: readonly string[]): Promise<object> {
   return Promise.resolve({ part, runs: PARTS[part]?.() ?? Object.keys(PARTS) });
 }
--- a/bench/plannercost.ts
+++ b/bench/plannercost.ts
@@ -22,8 +22,8 @@
   return hash32(text) % below;
 }
 
-/** Requests for a model by the end of a round: its rate changes every ten rounds. */
-function askedOf(index: number, round: number): number {
+/** Returns the requests for a model by the end of a round. Its rate changes every ten rounds. */
+function requestCountOf(index: number, round: number): number {
   let asked = 0;
   for (let at = 0; at <= round; at += 1) {
     asked += 2 * MEAN_RATE * 4 * (draw(`rate ${index} ${Math.floor(at / 10)}`, 1_000) / 1_000) ** 3;
@@ -31,10 +31,10 @@
   return Math.round(asked);
 }
 
-/** A cell in mid-flight: models of 10 to 60 GB, some hot, whose demand moves every round. */
+/** A cell in steady operation: models of 10 to 60 GB, some of them busy, with demand that changes over the rounds. */
 function cellOf(upstreams: number, models: number, round: number, held: PlannerState): Cell {
   const placed = held.plan?.placed ?? [];
-  // Demand fills 70% of all slots, unevenly, so that replicas for demand are weighed in each round.
+  // Demand fills 70% of all slots unevenly, so that every round weighs additional replicas.
   const serviceTimeMs = (0.7 * upstreams * 16 * 1_000) / (models * MEAN_RATE);
   return {
     movePenalty: 1,
@@ -62,9 +62,9 @@
       upstream: 'u0' as UpstreamId,
       incarnation: 1 as Incarnation,
       model: `m${index}` as ModelId,
-      askedCount: askedOf(index, round),
+      askedCount: requestCountOf(index, round),
       refusedCount: 0,
-      serviceTimeMs: askedOf(index, round) * serviceTimeMs,
+      serviceTimeMs: requestCountOf(index, round) * serviceTimeMs,
     })),
   };
 }
@@ -76,9 +76,9 @@
   let forDemand = 0;
   for (let round = 1; round <= ROUNDS * 3; round += 1) {
     const cell = cellOf(upstreams, models, round, state);
-    const begunMs = performance.now();
+    const startedAtMs = performance.now();
     const change = stepPlanner(state, { type: 'round', cell }, round * 2_000);
-    times.push(performance.now() - begunMs);
+    times.push(performance.now() - startedAtMs);
     state = change.state;
     for (const effect of change.effects) {
       if (effect.type !== 'moved') continue;
@@ -99,7 +99,7 @@
   };
 }
 
-/** Time that one round of a planner takes, over the number of upstreams and of models. */
+/** Measures the time of one planner round by the number of upstreams and models. */
 export function plannerCost(): Promise<object> {
   measure(16, 50);
   return Promise.resolve({
--- a/bench/platformpolicy.ts
+++ b/bench/platformpolicy.ts
@@ -1,12 +1,12 @@
 import type { Bench } from './bench.js';
 import { deployments } from './platformpolicy/deployment.js';
-import { World, type StudyDay, type StudyResult } from './platformpolicy/world.js';
+import { World, type StudyScenario, type StudyResult } from './platformpolicy/world.js';
 
-const DAY_MS = 40_000;
+const SCENARIO_MS = 40_000;
 const SEEDS = 30;
 
-/** Days by what happens: nothing, one slow shift, three in a row, and engines lost in a burst. */
-const DAYS: Readonly<Record<string, StudyDay>> = {
+/** Scenarios by name: constant demand, one slow shift, three shifts in a row, and engines lost during a burst. */
+const SCENARIOS: Readonly<Record<string, StudyScenario>> = {
   steady: { shifts: [] },
   slow: { shifts: [{ atMs: 8000, forMs: 6000 }] },
   shifting: {
@@ -26,19 +26,19 @@
   },
 };
 
-function mean(results: readonly StudyResult[], of: (one: StudyResult) => number): number {
-  const sum = results.reduce((total, one) => total + of(one), 0);
+function mean(results: readonly StudyResult[], of: (result: StudyResult) => number): number {
+  const sum = results.reduce((total, result) => total + of(result), 0);
   return Math.round((sum / results.length) * 10_000) / 10_000;
 }
 
-/** Placement of models on the prepared platform under shifting demand: the same cores, no network. */
+/** Simulates placement on the prepared platform under shifting demand, with the product's cores and no network. */
 export const platformPolicy: Bench = ([seeds = String(SEEDS)]) => {
   const table: Record<string, object> = {};
   for (const [site, make] of Object.entries(deployments)) {
-    for (const [name, day] of Object.entries(DAYS)) {
+    for (const [name, scenario] of Object.entries(SCENARIOS)) {
       const results: StudyResult[] = [];
       for (let seed = 1; seed <= Number(seeds); seed += 1) {
-        results.push(new World(make(), day, seed).run(DAY_MS));
+        results.push(new World(make(), scenario, seed).run(SCENARIO_MS));
       }
       table[`${site} ${name}`] = {
         worth: mean(results, ({ worth }) => worth),
--- a/bench/platformpolicy/deployment.ts
+++ b/bench/platformpolicy/deployment.ts
@@ -1,27 +1,27 @@
 import type { ModelId, Ms } from '../../src/base/index.js';
 import type { ModelSpec, ServiceSpec } from '../../src/core/routetable/index.js';
 
-/** A deployment's engines, models and demand, as far as placement depends on them. */
+/** Engines, models and demand of a deployment, as far as placement depends on them. */
 export interface StudyDeployment {
   readonly engines: number;
   readonly slots: number;
   readonly engine: NonNullable<ServiceSpec['engine']>;
-  /** Models whose demand moves from one to the next, and the shares of those that are busy now. */
+  /** Models that demand shifts between, and the demand shares of the currently busy ones. */
   readonly pool: readonly ModelId[];
   readonly busyShares: readonly number[];
   readonly busyPerSecond: number;
-  /** All other models together. */
+  /** Requests per second of all other models together. */
   readonly rarePerSecond: number;
-  /** Prompts that an engine reads in the time of a pause that is in time. */
-  readonly promptsPerPause: number;
-  /** Mean time of a request at an engine that is not crowded. */
+  /** Prompts that an engine can prefill within the longest gap between tokens that is still in time. */
+  readonly promptsPerGap: number;
+  /** Mean request duration at an engine without load. */
   readonly meanMs: Ms;
-  /** What a model's requests take, as a part of that; 1 where nothing is said. */
-  readonly paces?: ReadonlyMap<ModelId, number>;
+  /** Request duration of each model as a multiple of `meanMs`; 1 by default. */
+  readonly durationFactors?: ReadonlyMap<ModelId, number>;
 }
 
 const MB_LARGE = 72_700;
-const MB_MIDDLE = 65_100;
+const MB_MEDIUM = 65_100;
 const MB_SMALL = 42_700;
 
 function specs(
@@ -49,16 +49,16 @@
   return [...models.keys()].slice(0, count);
 }
 
-/** Of small, middle and large models in turn. */
+/** Request durations of small, medium and large models, as multiples of the mean. */
 const PACES = [1, 0.35, 1, 0.23, 1, 0.35, 0.23];
 
 const LARGE = (count: number): number[] => Array<number>(count).fill(MB_LARGE);
-const MIDDLE = (count: number): number[] => Array<number>(count).fill(MB_MIDDLE);
+const MEDIUM = (count: number): number[] => Array<number>(count).fill(MB_MEDIUM);
 const SMALL = (count: number): number[] => Array<number>(count).fill(MB_SMALL);
 
 /** Slow loads, two busy models at a time. */
 function agency(): StudyDeployment {
-  const sizesMb = [...LARGE(6), ...MIDDLE(2), ...SMALL(2), ...LARGE(7), ...MIDDLE(3), ...SMALL(1)];
+  const sizesMb = [...LARGE(6), ...MEDIUM(2), ...SMALL(2), ...LARGE(7), ...MEDIUM(3), ...SMALL(1)];
   const models = specs(sizesMb, (sizeMb) => (sizeMb / MB_LARGE) * 4200);
   return {
     engines: 13,
@@ -68,14 +68,14 @@
     busyShares: [0.648, 0.352],
     busyPerSecond: 130,
     rarePerSecond: 9.2,
-    promptsPerPause: 7,
+    promptsPerGap: 7,
     meanMs: 900,
   };
 }
 
-/** Fast loads, six busy models at a time, as many models as places. */
+/** Fast loads, six busy models at a time, as many models as replicas fit. */
 function reenvio(): StudyDeployment {
-  const models = specs([...LARGE(17), ...MIDDLE(22)], () => 1200);
+  const models = specs([...LARGE(17), ...MEDIUM(22)], () => 1200);
   return {
     engines: 13,
     slots: 24,
@@ -84,14 +84,14 @@
     busyShares: [0.326, 0.177, 0.145, 0.128, 0.116, 0.108],
     busyPerSecond: 127,
     rarePerSecond: 8.7,
-    promptsPerPause: 7,
+    promptsPerGap: 7,
     meanMs: 700,
   };
 }
 
-/** Slow loads, four busy models at a time, a quarter more models than places. */
+/** Slow loads, four busy models at a time, a quarter more models than replicas fit. */
 function large(engines: number, count: number, loadsPerSecond: number): StudyDeployment {
-  const sizesMb = [...LARGE(Math.ceil(count / 2)), ...MIDDLE(Math.floor(count / 2))];
+  const sizesMb = [...LARGE(Math.ceil(count / 2)), ...MEDIUM(Math.floor(count / 2))];
   const models = specs(sizesMb, (sizeMb) => (sizeMb / MB_LARGE) * 5800);
   return {
     engines,
@@ -101,14 +101,14 @@
     busyShares: [0.532, 0.197, 0.148, 0.123],
     busyPerSecond: engines * 6.2,
     rarePerSecond: engines * 0.4,
-    promptsPerPause: 9,
+    promptsPerGap: 9,
     meanMs: 700,
   };
 }
 
-/** Slow loads, six busy models at a time, and models that differ in pace by four times. */
+/** Slow loads, six busy models at a time, request durations that differ between models by a factor of four. */
 function paced(): StudyDeployment {
-  const models = specs([...LARGE(30), ...MIDDLE(47)], () => 4200);
+  const models = specs([...LARGE(30), ...MEDIUM(47)], () => 4200);
   const paces = new Map<ModelId, number>();
   for (const [at, id] of [...models.keys()].entries()) paces.set(id, PACES[at % PACES.length]!);
   return {
@@ -119,13 +119,13 @@
     busyShares: [0.326, 0.177, 0.145, 0.128, 0.116, 0.108],
     busyPerSecond: 850,
     rarePerSecond: 36,
-    promptsPerPause: 9,
+    promptsPerGap: 9,
     meanMs: 1200,
-    paces,
+    durationFactors: paces,
   };
 }
 
-/** The sites of two milestones at the sizes at which they are played. */
+/** The deployments by name. */
 export const deployments = {
   agency,
   reenvio,
--- a/bench/platformpolicy/world.ts
+++ b/bench/platformpolicy/world.ts
@@ -9,19 +9,20 @@
 const STEP_MS = 20;
 const TICK_MS = 100;
 const REPORT_MS = 250;
-/** The list tells of a load this much later. */
+/** Delay until a completed load appears in the upstream list. */
 const LIST_LAG_MS = 300;
-/** As the entry's own limits: beyond them it refuses. */
-const MOST_FILL = 1.15;
+/** Load above which a request is refused, as a multiple of the slots; equal to the entry's own limit. */
+const MAX_FILL = 1.15;
 const LATE_WORTH = 0.3;
-const CAME_BACK_WORTH = 0.65;
-const COME_BACK_MS = 400;
-/** An engine with all slots taken works this much longer on each request. */
-const CROWDED_SHARE = 0.6;
+const RETRIED_WORTH = 0.65;
+const RETRY_AFTER_MS = 400;
+/** Relative increase of the request duration when all slots of an engine are in use. */
+const CROWDING_SLOWDOWN = 0.6;
 const SERVICE = 's' as ServiceId;
-const WINDOW_MS = 5000;
-const OVERSHOOT = 1.1;
+const LOAD_WINDOW_MS = 5000;
+const LOAD_OVERSHOOT = 1.1;
 
+/** A replica of a model on an engine. */
 interface Place {
   phase: 'ready' | 'loading' | 'unloading';
   sinceMs: Ms;
@@ -36,43 +37,43 @@
   move: { readonly move: Move; loadFromMs: Ms | undefined } | undefined;
 }
 
-/** A change of demand: from then on, and over a while, each busy model's share moves on to the next. */
-export interface Shift {
+/** A gradual demand shift: over `forMs`, each busy model's share moves to the next model. */
+export interface DemandShift {
   readonly atMs: Ms;
   readonly forMs: Ms;
 }
 
-/** Engines that are lost for a while and come back empty; their disks are kept. */
-export interface Loss {
+/** A temporary loss of engines. They return with empty memory; their disks are kept. */
+export interface EngineLoss {
   readonly atMs: Ms;
   readonly forMs: Ms;
   readonly count: number;
 }
 
-/** A time with more demand. */
-export interface Burst {
+/** A temporary increase of all busy models' demand. */
+export interface DemandBurst {
   readonly atMs: Ms;
   readonly forMs: Ms;
   readonly factor: number;
 }
 
-/** What happens in a day. */
-export interface StudyDay {
-  readonly shifts: readonly Shift[];
-  readonly losses?: readonly Loss[];
-  readonly bursts?: readonly Burst[];
+/** The events of one run. */
+export interface StudyScenario {
+  readonly shifts: readonly DemandShift[];
+  readonly losses?: readonly EngineLoss[];
+  readonly bursts?: readonly DemandBurst[];
 }
 
-/** What a play came to. */
+/** The result of one run. */
 export interface StudyResult {
-  /** Part of the requests' worth that was earned. */
+  /** Earned fraction of the total value of the requests. */
   readonly worth: number;
   readonly refused: number;
   readonly late: number;
   readonly loads: number;
 }
 
-/** Engines, Poisson demand that shifts, and the planner as the holder of orders runs it. */
+/** Simulates engines, Poisson demand that shifts, and the planner as the order lease holder runs it. */
 export class World {
   private nowMs: Ms = 0;
 
@@ -82,7 +83,7 @@
 
   private readonly book = new DemandEstimator();
 
-  private readonly budget = new LoadBudget(WINDOW_MS, OVERSHOOT);
+  private readonly budget = new LoadBudget(LOAD_WINDOW_MS, LOAD_OVERSHOOT);
 
   private readonly arrivals = new Map<ModelId, number>();
 
@@ -104,7 +105,7 @@
 
   constructor(
     private readonly deployment: StudyDeployment,
-    private readonly day: StudyDay,
+    private readonly scenario: StudyScenario,
     seed: number,
   ) {
     this.generator = xoroshiro128plus(seed);
@@ -115,13 +116,13 @@
       isLost: false,
       move: undefined,
     }));
-    this.placeFirst();
+    this.placeInitially();
   }
 
   run(untilMs: Ms): StudyResult {
     while (this.nowMs < untilMs) {
       this.nowMs += STEP_MS;
-      for (const loss of this.day.losses ?? []) this.lose(loss);
+      for (const loss of this.scenario.losses ?? []) this.lose(loss);
       for (const engine of this.engines) this.advance(engine);
       this.demand();
       if (this.nowMs % REPORT_MS < STEP_MS) this.report();
@@ -131,8 +132,8 @@
     return { worth: earned / asked, refused: refused / asked, late: late / asked, loads };
   }
 
-  /** Busy models on several engines, each other one on one, as far as there is room. */
-  private placeFirst(): void {
+  /** Places busy models on several engines and every other model on one, as far as memory allows. */
+  private placeInitially(): void {
     const { engine, pool, busyShares, engines } = this.deployment;
     for (const [model] of engine.models) this.put(model, 1);
     for (const [at, share] of busyShares.entries()) {
@@ -143,8 +144,8 @@
   private put(model: ModelId, count: number): void {
     const { sizeMb } = this.deployment.engine.models.get(model)!;
     let left = count;
-    const byRoom = [...this.engines].sort((a, b) => this.freeMb(b) - this.freeMb(a));
-    for (const engine of byRoom) {
+    const byFreeMemory = [...this.engines].sort((a, b) => this.freeMb(b) - this.freeMb(a));
+    for (const engine of byFreeMemory) {
       if (left === 0) return;
       if (engine.places.has(model) || this.freeMb(engine) < sizeMb) continue;
       engine.places.set(model, { phase: 'ready', sinceMs: 0, runs: [] });
@@ -159,17 +160,17 @@
     return free;
   }
 
-  private lose({ atMs, forMs, count }: Loss): void {
+  private lose({ atMs, forMs, count }: EngineLoss): void {
     for (const engine of this.engines.slice(0, count)) {
-      const mark = engine;
+      const target = engine;
       const sinceMs = this.nowMs - atMs;
       if (sinceMs < 0 || sinceMs >= forMs) {
-        if (sinceMs >= forMs) mark.isLost = false;
+        if (sinceMs >= forMs) target.isLost = false;
         continue;
       }
       if (engine.isLost) continue;
-      mark.isLost = true;
-      mark.move = undefined;
+      target.isLost = true;
+      target.move = undefined;
       engine.places.clear();
     }
   }
@@ -182,25 +183,25 @@
     return this.deployment.busyShares[at] ?? 0;
   }
 
-  /** Requests a second for each model now. */
+  /** Returns the current requests per second of each model. */
   private rates(): Map<ModelId, number> {
     const { pool, busyPerSecond, rarePerSecond, engine } = this.deployment;
     let moved = 0;
-    for (const { atMs, forMs } of this.day.shifts) {
+    for (const { atMs, forMs } of this.scenario.shifts) {
       moved += Math.min(1, Math.max(0, (this.nowMs - atMs) / forMs));
     }
-    const whole = Math.floor(moved);
-    const part = moved - whole;
+    const wholeShifts = Math.floor(moved);
+    const fraction = moved - wholeShifts;
     const rates = new Map<ModelId, number>();
     let factor = 1;
-    for (const burst of this.day.bursts ?? []) {
+    for (const burst of this.scenario.bursts ?? []) {
       const sinceMs = this.nowMs - burst.atMs;
       if (sinceMs >= 0 && sinceMs < burst.forMs) factor *= burst.factor;
     }
     for (const [at, model] of pool.entries()) {
-      const now = this.share((at - whole + pool.length * 8) % pool.length);
-      const next = this.share((at - whole - 1 + pool.length * 8) % pool.length);
-      rates.set(model, (now * (1 - part) + next * part) * busyPerSecond * factor);
+      const now = this.share((at - wholeShifts + pool.length * 8) % pool.length);
+      const next = this.share((at - wholeShifts - 1 + pool.length * 8) % pool.length);
+      rates.set(model, (now * (1 - fraction) + next * fraction) * busyPerSecond * factor);
     }
     const rare = [...engine.models.keys()].filter((model) => !pool.includes(model));
     for (const model of rare) rates.set(model, rarePerSecond / rare.length);
@@ -208,9 +209,9 @@
   }
 
   private demand(): void {
-    const back = this.again.filter(({ atMs }) => atMs <= this.nowMs);
+    const due = this.again.filter(({ atMs }) => atMs <= this.nowMs);
     this.again = this.again.filter(({ atMs }) => atMs > this.nowMs);
-    for (const { model } of back) this.arrive(model, false);
+    for (const { model } of due) this.arrive(model, false);
     for (const [model, perSecond] of this.rates()) {
       let chance = (perSecond * STEP_MS) / 1000;
       while (chance > 0) {
@@ -232,19 +233,19 @@
       if (load < bestLoad) [best, bestLoad] = [engine, load];
     }
     if (!best) this.missed.set(model, (this.missed.get(model) ?? 0) + 1);
-    if (!best || bestLoad >= slots * MOST_FILL) {
-      if (isFirst) this.again.push({ atMs: this.nowMs + COME_BACK_MS, model });
+    if (!best || bestLoad >= slots * MAX_FILL) {
+      if (isFirst) this.again.push({ atMs: this.nowMs + RETRY_AFTER_MS, model });
       else this.refused += 1;
       return;
     }
-    const crowded = 1 + (CROWDED_SHARE * bestLoad) / slots;
-    const paceMs = meanMs * (this.deployment.paces?.get(model) ?? 1);
-    const tookMs = -Math.log(1 - this.random()) * paceMs * crowded;
+    const slowdown = 1 + (CROWDING_SLOWDOWN * bestLoad) / slots;
+    const meanModelMs = meanMs * (this.deployment.durationFactors?.get(model) ?? 1);
+    const tookMs = -Math.log(1 - this.random()) * meanModelMs * slowdown;
     best.places.get(model)!.runs.push({ endMs: this.nowMs + tookMs, tookMs });
     const isLate = bestLoad >= slots;
     if (isLate) this.late += 1;
-    const whole = isFirst ? 1 : CAME_BACK_WORTH;
-    this.earned += isLate ? LATE_WORTH : whole;
+    const worth = isFirst ? 1 : RETRIED_WORTH;
+    this.earned += isLate ? LATE_WORTH : worth;
   }
 
   private load({ places }: Engine): number {
@@ -254,7 +255,7 @@
   }
 
   private advance(engine: Engine): void {
-    const mark = engine;
+    const target = engine;
     for (const [model, place] of engine.places) {
       const ended = this.ended.get(model) ?? { count: 0, tookMs: 0 };
       this.ended.set(model, ended);
@@ -269,14 +270,14 @@
     const current = engine.move;
     if (!current) return;
     const { model, evicted, loadMs } = current.move;
-    const isWaiting = evicted.some((one) => (engine.places.get(one)?.runs.length ?? 0) > 0);
+    const isWaiting = evicted.some((old) => (engine.places.get(old)?.runs.length ?? 0) > 0);
     if (isWaiting) return;
-    for (const one of evicted) engine.places.delete(one);
+    for (const old of evicted) engine.places.delete(old);
     current.loadFromMs ??= this.nowMs;
     if (this.nowMs < current.loadFromMs + loadMs + LIST_LAG_MS) return;
     engine.places.set(model, { phase: 'ready', sinceMs: this.nowMs, runs: [] });
     engine.onDisk.add(model);
-    mark.move = undefined;
+    target.move = undefined;
   }
 
   private report(): void {
@@ -305,9 +306,9 @@
       engine,
       upstreams: this.engines
         .filter(({ isLost }) => !isLost)
-        .map((one) => this.planUpstream(one, slots)),
+        .map((upstream) => this.planUpstream(upstream, slots)),
       demand: this.book.estimate(SERVICE, this.nowMs, isReady),
-      promptsPerPause: this.deployment.promptsPerPause,
+      promptsPerPause: this.deployment.promptsPerGap,
       isDemandKnown: this.book.isDemandKnown(this.nowMs),
       coldLoadsLeft: this.budget.left(engine.loadsPerSecond, this.nowMs),
     };
@@ -319,8 +320,8 @@
     engine.move = { move, loadFromMs: undefined };
     this.loads += 1;
     if (move.isFromStore) this.budget.begin(this.nowMs);
-    for (const one of move.evicted) {
-      const place = engine.places.get(one);
+    for (const old of move.evicted) {
+      const place = engine.places.get(old);
       if (place) place.phase = 'unloading';
     }
     engine.places.set(move.model, { phase: 'loading', sinceMs: this.nowMs, runs: [] });
--- a/bench/policy.ts
+++ b/bench/policy.ts
@@ -11,7 +11,7 @@
 
 const REPORTS = join(import.meta.dirname, '..', '..', 'docs', 'reports');
 
-const WHOLE: Scale = {
+const FULL: Scale = {
   seeds: [1, 2, 3, 4, 5],
   durationMs: 120_000,
   loads: [0.3, 0.5, 0.7, 0.85, 1, 1.2, 1.5, 2],
@@ -19,17 +19,20 @@
 
 const QUICK: Scale = { seeds: [1, 2], durationMs: 60_000, loads: [0.5, 1.2] };
 
-/** Studies by name: each is run for both deployments. */
+/** Studies by name. Each runs for both deployments. */
 const STUDIES = { sweep, overTime, crowding, largest, refusals };
 
 type StudyName = keyof typeof STUDIES;
 
 /** Runs one study for both deployments. */
-function both<Result>(study: (deployment: typeof reenvio, scale: Scale) => Result, scale: Scale) {
+function forBoth<Result>(
+  study: (deployment: typeof reenvio, scale: Scale) => Result,
+  scale: Scale,
+) {
   return [study(reenvio, scale), study(agency, scale)];
 }
 
-/** Writes the figures, and a page with plots. */
+/** Writes the results as JSON, and a page with charts. */
 function report(
   results: { readonly command: string; readonly sweep: ReturnType<typeof sweep>[] },
   times: readonly ReturnType<typeof overTime>[],
@@ -40,24 +43,24 @@
 }
 
 /**
- * `npm run bench -- policy [--quick] [STUDY...]`: queues, shares and refusals under load, against the
- * baselines (placement and routes: `placement-study`). The whole set writes docs/reports/policy.json and policy.html.
+ * `npm run bench -- policy [--quick] [STUDY...]`: queues, shares and refusals under load, compared with the
+ * baselines (placement and routes: `placement-study`). A full run writes docs/reports/policy.json and policy.html.
  */
 export async function policy(args: readonly string[]): Promise<object> {
   const quick = args.includes('--quick');
-  const scale = quick ? QUICK : WHOLE;
+  const scale = quick ? QUICK : FULL;
   const named = args.filter((arg): arg is StudyName => arg in STUDIES);
   if (named.length > 0) {
-    return Object.fromEntries(named.map((name) => [name, both<object>(STUDIES[name], scale)]));
+    return Object.fromEntries(named.map((name) => [name, forBoth<object>(STUDIES[name], scale)]));
   }
   const results = {
     command: `npm run bench -- policy${quick ? ' --quick' : ''}`,
     scale,
-    sweep: both(sweep, scale),
-    crowding: both(crowding, scale),
-    largest: both(largest, scale),
-    refusals: both(refusals, scale),
+    sweep: forBoth(sweep, scale),
+    crowding: forBoth(crowding, scale),
+    largest: forBoth(largest, scale),
+    refusals: forBoth(refusals, scale),
   };
-  if (!quick) report(results, both(overTime, scale));
+  if (!quick) report(results, forBoth(overTime, scale));
   return Promise.resolve(results);
 }
--- a/test/experiment.test.ts
+++ b/test/experiment.test.ts
@@ -12,10 +12,10 @@
 const DURATION_MS = 60_000;
 
 function run(seed: number, load: number) {
-  const asks = workload(reenvio, { seed, load, durationMs: DURATION_MS, curve: defaultCurve });
+  const requests = workload(reenvio, { seed, load, durationMs: DURATION_MS, curve: defaultCurve });
   const result = new World({
     deployment: reenvio,
-    asks,
+    requests,
     durationMs: DURATION_MS,
     seed,
     curve: defaultCurve,
@@ -27,23 +27,23 @@
       { atMs: 40_000, type: 'zone-back', zone: 'oviedo-a' },
     ],
   }).run();
-  return { asks, result };
+  return { requests, result };
 }
 
-test('every request of a run ends once, also when a zone is lost', (t) => {
-  const { asks, result } = run(1, 1.2);
-  t.is(result.asked, asks.length);
-  t.is(result.answered + result.refused + result.lost, asks.length);
+test('every request of a run ends exactly once, also when a zone is lost', (t) => {
+  const { requests, result } = run(1, 1.2);
+  t.is(result.asked, requests.length);
+  t.is(result.answered + result.refused + result.lost, requests.length);
 });
 
-test('the same seed gives the same run, another seed another', (t) => {
+test('the same seed gives the same run, a different seed a different one', (t) => {
   const first = { ...run(2, 0.8).result, cpuSeconds: 0 };
   const again = { ...run(2, 0.8).result, cpuSeconds: 0 };
   t.deepEqual(first, again);
   t.not(run(3, 0.8).result.asked, first.asked);
 });
 
-test('offered load is what the options say', (t) => {
-  const [half, whole] = [0.5, 1].map((load) => run(4, load).asks.length);
+test('the number of requests is proportional to the configured load', (t) => {
+  const [half, whole] = [0.5, 1].map((load) => run(4, load).requests.length);
   t.true(Math.abs(half! / whole! - 0.5) < 0.1);
 });
--- a/test/planning.test.ts
+++ b/test/planning.test.ts
@@ -5,7 +5,7 @@
 import { takeoverDelay } from '../src/core/orderlease/index.js';
 import { PlanRunner } from '../src/direct/orders/planrunner.js';
 import { deployments } from '../bench/platformpolicy/deployment.js';
-import { World, type StudyDay } from '../bench/platformpolicy/world.js';
+import { World, type StudyScenario } from '../bench/platformpolicy/world.js';
 
 const SERVICE = 's' as ServiceId;
 const OBSERVABILITY = {
@@ -149,7 +149,7 @@
 const SEEDS = [1, 2, 3, 4, 5, 6];
 
 /** Mean share of the possible value in runs with 16 engines of 12 slots and 58 models whose loads take 5.8 s. */
-function worthOf(day: StudyDay): number {
+function worthOf(day: StudyScenario): number {
   const worths = SEEDS.map(
     (seed) => new World(deployments['large twin'](), day, seed).run(40_000).worth,
   );
