--- a/bench/soak/crashing.ts
+++ b/bench/soak/crashing.ts
@@ -41,8 +41,8 @@
 
   private arm(listed: Listed): void {
     const { server } = listed;
-    server.crashing = this.afterMs;
-    server.crashed = () => this.crashed(listed);
+    server.crashDelayMsByPath = this.afterMs;
+    server.onCrash = () => this.crashed(listed);
   }
 
   private crashed(listed: Listed): void {
--- a/bench/soak/faults.ts
+++ b/bench/soak/faults.ts
@@ -1,9 +1,9 @@
-import type { ServerManner } from '../../standin/platform/index.js';
+import type { ServerBehavior } from '../../standin/platform/index.js';
 import type { Dice } from './dice.js';
 import type { ProxyManner } from './proxy.js';
 import type { Site } from './site.js';
 
-const MANNERS: readonly ServerManner[] = [
+const MANNERS: readonly ServerBehavior[] = [
   'full',
   'error',
   'reset',
@@ -116,18 +116,18 @@
 const misbehave: Fault = (site, dice) => {
   const { server } = dice.pick(site.present());
   const manner = dice.pick(MANNERS);
-  for (let at = 0; at <= dice.below(4); at += 1) server.manners.push(manner);
+  for (let at = 0; at <= dice.below(4); at += 1) server.behaviors.push(manner);
   return `${server.id} ${manner}`;
 };
 
 const silence: Fault = (site) => {
-  for (const { server } of site.present()) server.manners.push('silent', 'silent');
+  for (const { server } of site.present()) server.behaviors.push('silent', 'silent');
   return 'all';
 };
 
 /** Work that takes a while is what a stop may cut. */
 const slowDown: Fault = (site) => {
-  for (const { server } of site.present()) server.manners.push(...Array<'slow'>(6).fill('slow'));
+  for (const { server } of site.present()) server.behaviors.push(...Array<'slow'>(6).fill('slow'));
   return 'all';
 };
 
--- a/bench/soak/listfaults.ts
+++ b/bench/soak/listfaults.ts
@@ -32,7 +32,7 @@
   site.serversDisturbedAtMs.push(performance.now());
   setTimeout(() => {
     if (isOwnKey) site.store.remove(`servers/${key}`);
-    else listed.server.changed();
+    else listed.server.onChange();
   }, dice.below(LONGEST_MS));
   return `${key} ${text}`;
 };
--- a/bench/soak/needfaults.ts
+++ b/bench/soak/needfaults.ts
@@ -39,10 +39,10 @@
 
 const wantPause: Fault = (site, dice) => {
   const { server } = dice.pick(site.present());
-  server.pauseText = dice.pick(PAUSES_S);
+  server.retryAfterText = dice.pick(PAUSES_S);
   const count = 1 + dice.below(MOST_TURNED_AWAY);
-  server.manners.push(...Array<'pause'>(count).fill('pause'));
-  return `${server.id} ${server.pauseText} s`;
+  server.behaviors.push(...Array<'pause'>(count).fill('pause'));
+  return `${server.id} ${server.retryAfterText} s`;
 };
 
 /** Faults of servers that say something of themselves in their answers, by name. */
--- a/bench/soak/needwitness.ts
+++ b/bench/soak/needwitness.ts
@@ -45,7 +45,7 @@
     }
   }
 
-  private arrivalsAt({ seen, turnedAway }: PlatformServer): Arrival[] {
+  private arrivalsAt({ requestLog: seen, refusals: turnedAway }: PlatformServer): Arrival[] {
     const arrivals: Arrival[] = [];
     for (const { id, atMs } of [...seen, ...turnedAway]) {
       const call = this.callOf.get(id);
@@ -85,7 +85,7 @@
   }
 
   private pauses(server: PlatformServer, arrivals: readonly Arrival[]): void {
-    for (const { id, atMs, pauseMs } of server.turnedAway) {
+    for (const { id, atMs, backoffMs: pauseMs } of server.refusals) {
       const told = this.callOf.get(id);
       if (!told || pauseMs === undefined) continue;
       const untilMs = atMs + pauseMs;
--- a/bench/soak/site.ts
+++ b/bench/soak/site.ts
@@ -114,7 +114,7 @@
     };
     this.listed.push(listed);
     this.added(listed);
-    server.changed = () => {
+    server.onChange = () => {
       if (listed.leavesAtMs === undefined) this.list(listed, 'ready');
     };
     this.list(listed, 'ready');
--- a/bench/soak/stopwaiting.ts
+++ b/bench/soak/stopwaiting.ts
@@ -49,14 +49,14 @@
   server.orderFaults.push(
     ...Array.from({ length: 50 }, () => ({ type: 'late' as const, ms: NEVER_MS })),
   );
-  if (server.service === 'plain') server.manners.push('silent');
-  else server.manners.push('paused');
+  if (server.service === 'plain') server.behaviors.push('silent');
+  else server.behaviors.push('paused');
 }
 const { port } = entry!;
 const endings: Record<string, Promise<string>[]> = { model: [], silent: [], stream: [] };
 endings.silent!.push(ask(port, '/charge/1'));
 endings.stream!.push(ask(port, '/draft/1', 'm1'));
-await until(() => site.listed.filter(({ server }) => server.seen.length > 0).length === 2);
+await until(() => site.listed.filter(({ server }) => server.requestLog.length > 0).length === 2);
 entry!.end('SIGTERM');
 await until(() => said('stopping'));
 for (let atMs = 0; atMs < ASKED_FOR_MS; atMs += ASK_EVERY_MS) {
--- a/bench/soak/suspendholder.ts
+++ b/bench/soak/suspendholder.ts
@@ -24,11 +24,11 @@
 await site.start(2, suspendedCommand(isSteady));
 const { entries } = site;
 const callers = new Callers(entries, new Dice(1));
-const orderCount = () => site.listed.reduce((sum, { server }) => sum + server.seenOrders.length, 0);
+const orderCount = () => site.listed.reduce((sum, { server }) => sum + server.orderLog.length, 0);
 
 /** The entry that gave the newest order. */
 function holder(): (typeof entries)[number] {
-  const orders = site.listed.flatMap(({ server }) => server.seenOrders);
+  const orders = site.listed.flatMap(({ server }) => server.orderLog);
   orders.sort((a, b) => a.atMs - b.atMs);
   return entries.find(({ name }) => name === orders.at(-1)!.order.holder)!;
 }
--- a/bench/soak/witness.ts
+++ b/bench/soak/witness.ts
@@ -28,7 +28,7 @@
 /** One run of a request at a server. */
 interface Ran {
   readonly server: string;
-  readonly manner: string;
+  readonly behavior: string;
   readonly customer: string | undefined;
   readonly hasCredential: boolean;
   readonly atMs: number;
@@ -49,7 +49,7 @@
     private readonly slackMs: number,
   ) {
     for (const { server, leavesAtMs } of site.listed) {
-      for (const { id, ...seen } of server.seen) {
+      for (const { id, ...seen } of server.requestLog) {
         const runs = this.ran.get(id) ?? [];
         runs.push({ ...seen, server: server.id, leavesAtMs });
         this.ran.set(id, runs);
@@ -154,7 +154,7 @@
     const { entry, sentAtMs, endedAtMs = Infinity, status, isWhole, leftAtMs } = call;
     if (leftAtMs !== undefined || (status !== undefined && isWhole)) return;
     const [run, ...others] = this.runsOf(call);
-    const isServed = run?.manner === 'serve' || run?.manner === 'slow';
+    const isServed = run?.behavior === 'serve' || run?.behavior === 'slow';
     if (!isServed || others.length > 0) return;
     if (!this.site.entries[entry]!.isUnstruck(sentAtMs - CALM_MS, endedAtMs)) return;
     const isDisturbed = this.site.serversDisturbedAtMs.some(
@@ -167,7 +167,7 @@
     const { leftAtMs } = call;
     if (leftAtMs === undefined) return;
     if (!this.site.entries[call.entry]!.isUnstruck(leftAtMs - CALM_MS, leftAtMs + CALM_MS)) return;
-    for (const { manner, closedAtMs, server, atMs } of this.runsOf(call)) {
+    for (const { behavior: manner, closedAtMs, server, atMs } of this.runsOf(call)) {
       if (manner !== 'silent') continue;
       const endMs = closedAtMs ?? Infinity;
       const lastMs = Math.max(leftAtMs, atMs) + GONE_MS + this.slackMs;
@@ -228,7 +228,7 @@
   /** Once three servers have ended under a request and all can know, calm entries send it on a few times at most. */
   private crashing(): void {
     const entryOf = new Map(this.calls.map(({ id, entry }) => [id, entry]));
-    const runs = this.site.listed.flatMap(({ server }) => server.seen);
+    const runs = this.site.listed.flatMap(({ server }) => server.requestLog);
     const paths = new Set(
       this.calls
         .filter(({ kind }) => kind === 'crash')
@@ -250,8 +250,8 @@
 
   private orders(): void {
     for (const { server } of this.site.listed) {
-      if (server.overfullCount > 0) this.breach('memory is never overcommitted', server.id);
-      const orders = [...server.seenOrders].sort((a, b) => a.atMs - b.atMs);
+      if (server.overcommitCount > 0) this.breach('memory is never overcommitted', server.id);
+      const orders = [...server.orderLog].sort((a, b) => a.atMs - b.atMs);
       for (const [at, { order, atMs }] of orders.entries()) {
         const before = orders[at - 1];
         if (!before || before.order.holder === order.holder) continue;
--- a/standin/engine/takeorder.ts
+++ b/standin/engine/acceptorder.ts
@@ -4,16 +4,16 @@
 import type { EngineOptions } from './engineoptions.js';
 import type { EngineResident, EngineState } from './enginestate.js';
 
-type Taken = Transition<EngineState, EngineEffect>;
+type OrderResult = Transition<EngineState, EngineEffect>;
 type CountName = 'loads' | 'unloads' | 'adapterLoads' | 'adapterUnloads';
-type Take = (state: EngineState, order: Order, options: EngineOptions) => Taken;
+type Accept = (state: EngineState, order: Order, options: EngineOptions) => OrderResult;
 
 function matches(resident: EngineResident, order: Order): boolean {
   if (resident.model !== order.model) return false;
   return !order.version || resident.version === order.version;
 }
 
-function settled(state: EngineState, order: Order, effects: readonly EngineEffect[]): Taken {
+function settled(state: EngineState, order: Order, effects: readonly EngineEffect[]): OrderResult {
   const settledOrderIds = [...state.settledOrderIds, order.orderId];
   return { state: { ...state, settledOrderIds }, effects };
 }
@@ -22,11 +22,11 @@
   return { ...state, counts: { ...state.counts, [name]: state.counts[name] + 1 } };
 }
 
-function refused(state: EngineState, order: Order, reason: string): Taken {
+function refused(state: EngineState, order: Order, reason: string): OrderResult {
   return settled(state, order, [{ type: 'order-refused', reason }]);
 }
 
-const TAKE: Readonly<Record<Order['action'], Take>> = {
+const ACCEPT: Readonly<Record<Order['action'], Accept>> = {
   'load-model': (state, order) => {
     const { model = '', version = '', sizeBytes = 0 } = order;
     const known = state.residents.some((other) => other.model === model && matches(other, order));
@@ -77,8 +77,8 @@
   }),
 };
 
-/** Takes an order, once for each order id, and refuses an old fencing token if the engine checks. */
-export function takeOrder(state: EngineState, order: Order, options: EngineOptions): Taken {
+/** Accepts an order once per order id. Refuses an old fencing token if the engine checks it. */
+export function acceptOrder(state: EngineState, order: Order, options: EngineOptions): OrderResult {
   if (options.checksFencing && order.fencingToken < state.highestFencingToken) {
     return { state, effects: [{ type: 'order-fenced' }] };
   }
@@ -88,5 +88,5 @@
     highestFencingToken: Math.max(state.highestFencingToken, order.fencingToken),
     seenOrderIds: new Set([...state.seenOrderIds, order.orderId]),
   };
-  return TAKE[order.action](seen, order, options);
+  return ACCEPT[order.action](seen, order, options);
 }
--- a/standin/engine/answer.ts
+++ b/standin/engine/answer.ts
@@ -1,7 +1,7 @@
 import type { ServerResponse } from 'node:http';
 import type { Fault } from '../fault/fault.js';
 
-/** One answer: its tokens so far, and who listens to it. */
+/** An answer: the tokens generated so far and the response that they are streamed to. */
 export interface Answer {
   readonly requestId: string;
   readonly model: string;
@@ -9,8 +9,9 @@
   readonly stream: boolean;
   readonly promptTokens: number;
   readonly tokens: readonly string[];
-  /** Tokens of the whole answer. */
+  /** Number of tokens of the complete answer. */
   readonly wanted: number;
   readonly fault: Fault;
+  /** Absent while no caller is connected. */
   readonly response?: ServerResponse;
 }
--- a/standin/engine/answerbook.ts
+++ b/standin/engine/answertable.ts
@@ -2,48 +2,48 @@
 import type { Answer } from './answer.js';
 import { writeAnswer } from './writeanswer.js';
 
-/** The answers of one engine, live and kept, by the engine's own number of the request. */
-export class AnswerBook {
+/** The answers of one engine, in progress or kept for a resume, by the engine's key of the request. */
+export class AnswerTable {
   private readonly answers = new Map<number, Answer>();
 
-  /** `tellGone` hears of callers that left before their answer was whole. */
-  constructor(private readonly tellGone: (key: number) => void) {}
+  /** `onCallerGone` is called if a caller disconnects before its answer is complete. */
+  constructor(private readonly onCallerGone: (key: number) => void) {}
 
   get(key: number): Answer | undefined {
     return this.answers.get(key);
   }
 
-  /** Id of some other request than this one. */
+  /** Returns the id of a request other than this one. */
   otherId(requestId: string): string {
     const others = [...this.answers.values()].filter((answer) => answer.requestId !== requestId);
     return others.at(-1)?.requestId ?? 'some-other-request';
   }
 
-  /** Adds an answer, or gives a kept one a new listener. */
+  /** Adds an answer, or connects a kept answer to a new response. */
   attach(key: number, answer: Answer, response: ServerResponse | undefined): void {
     this.answers.set(key, { ...answer, response });
     response?.on('close', () => {
       if (this.answers.get(key)?.response !== response) return;
-      if (!response.writableFinished) this.tellGone(key);
+      if (!response.writableFinished) this.onCallerGone(key);
     });
   }
 
-  /** Forgets answers that the engine itself no longer knows. */
-  keepOnly(isKnown: (key: number) => boolean): void {
+  /** Deletes answers whose requests the engine no longer knows. */
+  retainOnly(isKnown: (key: number) => boolean): void {
     for (const key of this.answers.keys()) if (!isKnown(key)) this.answers.delete(key);
   }
 
-  giveToken(key: number, index: number, text: string): void {
+  appendToken(key: number, index: number, text: string): void {
     const answer = this.answers.get(key);
     if (!answer) return;
-    const grown = { ...answer, tokens: [...answer.tokens, text] };
-    this.answers.set(key, grown);
+    const extended = { ...answer, tokens: [...answer.tokens, text] };
+    this.answers.set(key, extended);
     if (answer.fault.type === 'cut' && index >= answer.fault.afterTokens) {
-      this.breakOff(key, grown);
+      this.interrupt(key, extended);
       return;
     }
     if (answer.response && !answer.response.headersSent) writeAnswer.start(answer);
-    writeAnswer.token(grown, index);
+    writeAnswer.token(extended, index);
   }
 
   finish(key: number): void {
@@ -53,7 +53,7 @@
     writeAnswer.end(answer);
   }
 
-  /** Gives a listener what it lacks after the token with this index. */
+  /** Sends a new response all tokens after the one with this index. */
   resume(key: number, lastIndex: number, response: ServerResponse): void {
     const answer = this.answers.get(key);
     if (!answer) return;
@@ -77,14 +77,14 @@
     response?.writeHead(status, { 'content-type': 'application/json' }).end(JSON.stringify(body));
   }
 
-  /** Ends the connection after what has been written; the answer is kept for a resume. */
-  private breakOff(key: number, answer: Answer): void {
+  /** Closes the connection once the buffered data is sent; keeps the answer for a resume. */
+  private interrupt(key: number, answer: Answer): void {
     const { response } = answer;
     if (!response) return;
     this.answers.set(key, { ...answer, response: undefined });
     if (response.headersSent) response.write('', () => response.destroy());
     else response.destroy();
-    // Not at once: the engine is in the middle of carrying out effects.
-    queueMicrotask(() => this.tellGone(key));
+    // Deferred, because the engine is currently carrying out effects.
+    queueMicrotask(() => this.onCallerGone(key));
   }
 }
--- a/standin/engine/endorder.ts
+++ b/standin/engine/completeorder.ts
@@ -3,9 +3,9 @@
 import type { EngineEffect } from './engineeffect.js';
 import type { EngineRequest, EngineResident, EngineState } from './enginestate.js';
 
-type End = (state: EngineState, order: Order) => EngineState;
+type Complete = (state: EngineState, order: Order) => EngineState;
 
-function isMeant(resident: EngineResident, order: Order): boolean {
+function matches(resident: EngineResident, order: Order): boolean {
   if (resident.model !== order.model) return false;
   return !order.version || resident.version === order.version;
 }
@@ -15,16 +15,16 @@
   order: Order,
   change: (resident: EngineResident) => EngineResident,
 ): EngineState {
-  const residents = state.residents.map((other) => (isMeant(other, order) ? change(other) : other));
+  const residents = state.residents.map((other) => (matches(other, order) ? change(other) : other));
   return { ...state, residents };
 }
 
-const END: Readonly<Record<Order['action'], End>> = {
+const COMPLETE: Readonly<Record<Order['action'], Complete>> = {
   'load-model': (state, order) =>
     mapResident(state, order, (resident) => ({ ...resident, phase: 'ready' })),
   'unload-model': (state, order) => ({
     ...state,
-    residents: state.residents.filter((other) => !isMeant(other, order)),
+    residents: state.residents.filter((other) => !matches(other, order)),
   }),
   'load-adapter': (state, order) =>
     mapResident(state, order, (resident) => ({
@@ -41,17 +41,20 @@
   'set-role': (state, { role = 'mixed' }) => ({ ...state, role }),
 };
 
-/** Whether a request names a model or adapter that is in memory. */
+/** Returns true if the model or adapter that a request names is in memory. */
 function isServed(state: EngineState, { model }: EngineRequest): boolean {
   return state.residents.some(
     (resident) => resident.model === model || resident.adapters.some(({ id }) => id === model),
   );
 }
 
-/** An order is done. Answers of a model that has been unloaded under them are cut. */
-export function endOrder(state: EngineState, order: Order): Transition<EngineState, EngineEffect> {
+/** Completes an order. Cuts the answers of requests whose model or adapter was unloaded. */
+export function completeOrder(
+  state: EngineState,
+  order: Order,
+): Transition<EngineState, EngineEffect> {
   const settledOrderIds = [...state.settledOrderIds, order.orderId];
-  const ended = { ...END[order.action](state, order), settledOrderIds };
+  const ended = { ...COMPLETE[order.action](state, order), settledOrderIds };
   if (!order.action.startsWith('unload')) return { state: ended, effects: [] };
   const requests = new Map(ended.requests);
   const effects: EngineEffect[] = [];
--- a/standin/engine/curve.ts
+++ b/standin/engine/curve.ts
@@ -1,14 +1,14 @@
 /**
- * How long the stand-in engine takes. Used by the stand-in on loopback and by experiments in virtual
- * time alike, so that both speak of the same hardware.
+ * Latency model of the stand-in engine. The stand-in on loopback and the simulations in virtual time share it,
+ * so that both describe the same hardware.
  */
 export interface Curve {
-  /** Time that one prompt token takes when it is not in the prefix cache. */
+  /** Prefill time of one prompt token that is not in the prefix cache. */
   readonly prefillTokenMs: number;
-  /** Time of one decoding step with a single running request. */
+  /** Duration of a decoding step with a single running request. */
   readonly stepMs: number;
-  /** What each further running request adds to a step. */
+  /** Added duration of a step for each further running request. */
   readonly stepMsPerRequest: number;
-  /** Weights that arrive in one ms when the weight store is not crowded. */
+  /** Bytes of weights loaded per ms while the weight store is below its parallel limit. */
   readonly loadBytesPerMs: number;
 }
--- a/standin/engine/defaultcurve.ts
+++ b/standin/engine/defaultcurve.ts
@@ -1,6 +1,6 @@
 import type { Curve } from './curve.js';
 
-/** Sixteen requests at once just hold the goal of 53 ms between tokens. */
+/** With 16 concurrent requests, the time between tokens stays just within the goal of 53 ms. */
 export const defaultCurve: Curve = {
   prefillTokenMs: 0.25,
   stepMs: 12,
--- a/standin/engine/emptyengine.ts
+++ b/standin/engine/emptyengine.ts
@@ -1,6 +1,6 @@
 import type { EngineState } from './enginestate.js';
 
-/** An engine that has just started. */
+/** State of an engine that has just started. */
 export const emptyEngine: EngineState = {
   restarts: 0,
   highestFencingToken: 0,
--- a/standin/engine/engineclock.ts
+++ b/standin/engine/engineclock.ts
@@ -1,4 +1,4 @@
-/** The engine's own time, which may run faster than real time, and its one alarm. */
+/** The engine's clock, which may run faster than real time, with a single timer. */
 export class EngineClock {
   private readonly startMs = performance.now();
 
@@ -10,13 +10,13 @@
     return (performance.now() - this.startMs) * this.speed;
   }
 
-  /** Real milliseconds of so many of the engine's. */
+  /** Converts a duration of engine time to real time. */
   realMs(engineMs: number): number {
     return engineMs / this.speed;
   }
 
-  /** Sets the alarm anew; undefined takes it back. */
-  alarm(atMs: number | undefined, act: () => void): void {
+  /** Replaces the timer; undefined cancels it. */
+  setTimer(atMs: number | undefined, act: () => void): void {
     clearTimeout(this.timer);
     if (atMs === undefined) return;
     this.timer = setTimeout(act, this.realMs(atMs - this.nowMs()));
--- a/standin/engine/enginedefaults.ts
+++ b/standin/engine/enginedefaults.ts
@@ -1,7 +1,7 @@
 import { defaultCurve } from './defaultcurve.js';
 import type { EngineOptions } from './engineoptions.js';
 
-/** What the stand-in engine does when it is not told otherwise. */
+/** Default options of the stand-in engine. */
 export const engineDefaults: EngineOptions = {
   curve: defaultCurve,
   tokens: 20,
--- a/standin/engine/engineevent.ts
+++ b/standin/engine/engineevent.ts
@@ -1,12 +1,12 @@
 import type { Order } from '../../src/port/index.js';
 import type { EngineRequest } from './enginestate.js';
 
-/** What can happen to the stand-in engine. */
+/** Events that the stand-in engine handles. */
 export type EngineEvent =
   | { readonly type: 'ask'; readonly request: EngineRequest }
-  /** Takes up a kept answer: `made` tokens are already with the caller. */
+  /** Resumes a kept answer; the caller already has its first `made` tokens. */
   | { readonly type: 'resume'; readonly key: number }
-  /** The caller has gone; what was made can be resumed. */
+  /** The caller has disconnected; the answer can be resumed. */
   | { readonly type: 'gone'; readonly key: number }
   | { readonly type: 'cancel'; readonly requestId: string }
   | { readonly type: 'import'; readonly request: EngineRequest }
--- a/standin/engine/engineoptions.ts
+++ b/standin/engine/engineoptions.ts
@@ -1,20 +1,20 @@
 import type { Curve } from './curve.js';
 
-/** How the stand-in engine behaves. Times are the engine's own: see `speed` of the fake engine. */
+/** Options of the stand-in engine. Durations are in engine time: see `speed` in FakeEngineOptions. */
 export interface EngineOptions {
   readonly curve: Curve;
-  /** Tokens of a whole answer, unless the request asks for fewer. */
+  /** Tokens of a complete answer, unless the request asks for fewer. */
   readonly tokens: number;
-  /** Requests in one batch at most. */
+  /** Maximum number of requests in a batch. */
   readonly maxRunning: number;
-  /** Memory of all accelerators; undefined: memory is not looked at and every model is resident. */
+  /** Memory of all accelerators; if undefined, memory is unlimited and every model counts as loaded. */
   readonly memoryBytes: number | undefined;
-  /** Memory that the KV cache takes even when it is empty. */
+  /** Memory that is reserved for the KV cache, even while it is empty. */
   readonly kvCacheBytes: number;
   readonly kvCacheBytesPerToken: number;
-  /** Blocks of prompt tokens that the prefix cache holds. */
+  /** Capacity of the prefix cache, in blocks of prompt tokens. */
   readonly cacheBlocks: number;
-  /** Whether an order with an old fencing token is refused. */
+  /** True if orders with an old fencing token are refused. */
   readonly checksFencing: boolean;
   readonly unloadMs: number;
   readonly roleMs: number;
--- a/standin/engine/enginestate.ts
+++ b/standin/engine/enginestate.ts
@@ -1,29 +1,30 @@
 import type { EngineReport } from '../../src/port/index.js';
 import type { PrefixCache } from './prefixcache.js';
 
-/** One request that the engine knows. */
+/** A request that the engine knows. */
 export interface EngineRequest {
-  /** The engine's own number: the same request may be asked twice. */
+  /** Assigned by the engine, as the same request may be sent twice. */
   readonly key: number;
   readonly requestId: string;
   readonly model: string;
   readonly priority: number;
-  /** Hash of prompt and all tokens so far. */
+  /** Hash of the prompt and all tokens generated so far. */
   readonly textHash: number;
   readonly blocks: readonly number[];
   readonly promptTokens: number;
-  /** Tokens made so far, and how many make the whole answer. */
+  /** Number of tokens generated so far. */
   readonly made: number;
+  /** Number of tokens of the complete answer. */
   readonly tokens: number;
-  /** `kept`: its caller has gone, it can be resumed. */
+  /** `kept`: the caller has disconnected, and the answer can be resumed. */
   readonly phase: 'waiting' | 'running' | 'kept' | 'finished';
-  /** True when its KV cache came from another engine. */
+  /** True if the KV cache was imported from another engine. */
   readonly imported: boolean;
-  /** Leading tokens whose KV cache came from another engine under the same request id. */
+  /** Number of leading tokens whose KV cache was imported from another engine under the same request id. */
   readonly importedTokens?: number;
 }
 
-/** One model in memory. */
+/** A model in memory. */
 export interface EngineResident {
   readonly model: string;
   readonly version: string;
@@ -36,23 +37,23 @@
   }[];
 }
 
-/** What truly happened at the engine: no restart resets it. */
+/** Counters of what the engine did. A restart does not reset them. */
 export interface EngineCounts {
   readonly overcommits: number;
-  /** Models (not adapters) that began to load, and to unload. */
+  /** Loads and unloads of models that were started, without adapters. */
   readonly loads: number;
   readonly unloads: number;
   readonly adapterLoads: number;
   readonly adapterUnloads: number;
   readonly busyMs: number;
-  /** Prompt tokens that had to be prefilled, as no cache held them. */
+  /** Prompt tokens that were prefilled because no cache held them. */
   readonly prefillTokens: number;
   readonly tokens: number;
 }
 
-/** All that the stand-in engine holds. */
+/** State of the stand-in engine. */
 export interface EngineState {
-  /** Restarts of the engine so far. */
+  /** Number of restarts so far. */
   readonly restarts: number;
   readonly highestFencingToken: number;
   readonly seenOrderIds: ReadonlySet<string>;
@@ -61,7 +62,7 @@
   readonly role: EngineReport['role'];
   readonly requests: ReadonlyMap<number, EngineRequest>;
   readonly cache: PrefixCache;
-  /** When the running step ends; undefined while nothing runs. */
+  /** When the current step ends; undefined while no request runs. */
   readonly stepEndsAtMs: number | undefined;
   readonly counts: EngineCounts;
 }
--- a/standin/engine/expectedanswer.ts
+++ b/standin/engine/expectedanswer.ts
@@ -1,7 +1,7 @@
 import { foldText } from './foldtext.js';
 import { nextToken } from './nexttoken.js';
 
-/** The whole answer to a prompt, as any stand-in engine gives it. */
+/** Returns the complete answer that every stand-in engine gives to this prompt. */
 export function expectedAnswer(prompt: string, tokenCount: number): string {
   let hash = foldText(prompt);
   let answer = '';
--- a/standin/engine/fakeengine.ts
+++ b/standin/engine/fakeengine.ts
@@ -7,8 +7,8 @@
 import { LoopbackServer } from '../loopbackserver.js';
 import { sendJson } from '../sendjson.js';
 import type { Answer } from './answer.js';
-import { AnswerBook } from './answerbook.js';
-import type { Ask } from './ask.js';
+import { AnswerTable } from './answertable.js';
+import type { GenerationRequest } from './generationrequest.js';
 import { defaultCurve } from './defaultcurve.js';
 import { emptyEngine } from './emptyengine.js';
 import { EngineClock } from './engineclock.js';
@@ -19,7 +19,7 @@
 import type { EngineCounts, EngineRequest, EngineState } from './enginestate.js';
 import type { FakeEngineOptions } from './fakeengineoptions.js';
 import { foldText } from './foldtext.js';
-import { History } from './history.js';
+import { StateHistory } from './statehistory.js';
 import { reportOf } from './reportof.js';
 import { requestOf } from './requestof.js';
 import { stepEngine } from './stepengine.js';
@@ -39,11 +39,11 @@
 const NOT_KEPT = { error: { message: 'No such answer is kept.', code: 'not_kept' } };
 
 /**
- * A stand-in for a model engine: the HTTP shell around `stepEngine`. The same prompt gives the same
- * tokens on each of them. It serves the paths of docs/ENGINES.md and counts what truly ran.
+ * A stand-in for a model engine: the HTTP shell around `stepEngine`. All stand-in engines generate the same tokens
+ * for the same prompt. Serves the paths of docs/ENGINES.md and counts the generations that actually ran.
  */
 export class FakeEngine {
-  /** Generations that began to run. */
+  /** Number of generations that started to run. */
   ran = 0;
 
   private readonly options: EngineOptions;
@@ -54,11 +54,11 @@
     this.handle(request, response),
   );
 
-  private readonly book = new AnswerBook((key) => this.apply({ type: 'gone', key }));
+  private readonly book = new AnswerTable((key) => this.apply({ type: 'gone', key }));
 
   private readonly runsById = new Map<string, number>();
 
-  private readonly history: History;
+  private readonly history: StateHistory;
 
   private state: EngineState;
 
@@ -66,7 +66,7 @@
 
   private nextKey = 0;
 
-  private replyToOrder: ServerResponse | undefined;
+  private orderResponse: ServerResponse | undefined;
 
   private readonly effects: Effects = {
     began: ({ requestId }) => {
@@ -74,12 +74,12 @@
       this.runsById.set(requestId, this.runs(requestId) + 1);
     },
     refused: ({ key }) => this.book.refuse(key, 404, NOT_LOADED),
-    token: ({ key, index, text }) => this.book.giveToken(key, index, text),
+    token: ({ key, index, text }) => this.book.appendToken(key, index, text),
     finished: ({ key }) => this.book.finish(key),
     cut: ({ key }) => this.book.cut(key),
-    load: ({ order, sizeBytes }) => this.endLater('loaded', order, this.load(sizeBytes)),
+    load: ({ order, sizeBytes }) => this.completeLater('loaded', order, this.load(sizeBytes)),
     change: ({ order, afterMs }) =>
-      this.endLater('changed', order, wait(this.clock.realMs(afterMs))),
+      this.completeLater('changed', order, wait(this.clock.realMs(afterMs))),
     'order-taken': () => this.answerOrder(202, {}),
     'order-fenced': () => this.answerOrder(412, { error: 'The fencing token is old.' }),
     'order-refused': ({ reason }) => this.answerOrder(409, { error: reason }),
@@ -100,23 +100,23 @@
     'PUT cache': (request, response, requestId) => this.importCache(request, response, requestId),
   };
 
-  constructor(private readonly given: FakeEngineOptions = {}) {
-    const { tokenMs } = given;
+  constructor(private readonly overrides: FakeEngineOptions = {}) {
+    const { tokenMs } = overrides;
     const fixed = { prefillTokenMs: 0, stepMs: tokenMs ?? 0, stepMsPerRequest: 0 };
     const curve = tokenMs === undefined ? defaultCurve : { ...defaultCurve, ...fixed };
-    this.options = { ...engineDefaults, curve, ...given };
-    this.clock = new EngineClock(given.speed ?? 1);
-    const residents = (given.residents ?? []).map((resident) => ({
+    this.options = { ...engineDefaults, curve, ...overrides };
+    this.clock = new EngineClock(overrides.speed ?? 1);
+    const residents = (overrides.residents ?? []).map((resident) => ({
       version: '1',
       ...resident,
       phase: 'ready' as const,
       adapters: [],
     }));
     this.state = { ...emptyEngine, residents };
-    this.history = new History(given.reportLagMs ?? 0, performance.now(), this.state);
+    this.history = new StateHistory(overrides.reportLagMs ?? 0, performance.now(), this.state);
   }
 
-  /** What truly happened here, restarts included. */
+  /** Counters of what this engine did, across restarts. */
   get counts(): EngineCounts {
     return this.state.counts;
   }
@@ -125,38 +125,38 @@
     return this.state.counts.overcommits;
   }
 
-  /** Models in memory that are ready. */
+  /** Models that are loaded and ready. */
   get ready(): readonly string[] {
     return this.state.residents.filter(({ phase }) => phase === 'ready').map(({ model }) => model);
   }
 
-  /** How often this request began to run here. */
+  /** Returns how often this request started to run here. */
   runs(requestId: string): number {
     return this.runsById.get(requestId) ?? 0;
   }
 
-  /** Every request that ran here, with how often. */
+  /** Returns every request that ran here, with its number of runs. */
   allRuns(): ReadonlyMap<string, number> {
     return this.runsById;
   }
 
-  /** Tells in its reports from now on that this engine leaves. */
+  /** Marks this engine as leaving in its reports from now on. */
   leave(): void {
     this.isLeaving = true;
   }
 
-  /** Loses all memory and cuts every answer, as a crash and restart would. */
+  /** Simulates a crash and restart: clears the memory and cuts every answer. */
   crash(): void {
     this.apply({ type: 'crash' });
   }
 
-  /** Listens on a free port of the loopback and gives the URL. */
+  /** Listens on a free loopback port and returns the URL. */
   listen(): Promise<string> {
     return this.server.listen();
   }
 
   close(): void {
-    this.clock.alarm(undefined, () => {});
+    this.clock.setTimer(undefined, () => {});
     this.server.close();
   }
 
@@ -166,7 +166,7 @@
     for (const effect of effects) {
       (this.effects[effect.type] as (effect: EngineEffect) => void)(effect);
     }
-    this.clock.alarm(this.state.stepEndsAtMs, () => this.apply({ type: 'tick' }));
+    this.clock.setTimer(this.state.stepEndsAtMs, () => this.apply({ type: 'tick' }));
   }
 
   private handle(request: IncomingMessage, response: ServerResponse): Promise<void> | void {
@@ -177,8 +177,8 @@
     return sendJson(response, 404, { error: 'No such path.' });
   }
 
-  /** Lets a fault befall a call; undefined when the call is over with that. */
-  private async suffer(
+  /** Applies the next fault to a call; returns undefined if the fault ends the call. */
+  private async applyFault(
     faults: FaultList | undefined,
     response: ServerResponse,
   ): Promise<Answer['fault'] | undefined> {
@@ -191,8 +191,8 @@
   }
 
   private async generate(request: IncomingMessage, response: ServerResponse): Promise<void> {
-    const ask = (await json(request)) as Ask;
-    const fault = await this.suffer(this.given.faults, response);
+    const ask = (await json(request)) as GenerationRequest;
+    const fault = await this.applyFault(this.overrides.faults, response);
     if (!fault) return;
     this.nextKey += 1;
     const requestId = String(request.headers['x-request-id'] ?? `generated-${this.nextKey}`);
@@ -202,8 +202,8 @@
       return;
     }
     const priority = Number(request.headers['x-priority'] ?? 0);
-    const told = { key: this.nextKey, requestId, priority };
-    const engineRequest = requestOf(ask, this.options.tokens, told);
+    const identity = { key: this.nextKey, requestId, priority };
+    const engineRequest = requestOf(ask, this.options.tokens, identity);
     const answer = {
       requestId: fault.type === 'crossing' ? this.book.otherId(requestId) : requestId,
       model: ask.model,
@@ -218,7 +218,7 @@
   }
 
   private begin(request: EngineRequest, answer: Answer, response: ServerResponse): void {
-    this.book.keepOnly((key) => this.state.requests.has(key));
+    this.book.retainOnly((key) => this.state.requests.has(key));
     this.book.attach(request.key, answer, response);
     this.apply({ type: 'ask', request });
   }
@@ -235,52 +235,52 @@
   }
 
   private find(requestId: string): EngineRequest | undefined {
-    return [...this.state.requests.values()].findLast((it) => it.requestId === requestId);
+    return [...this.state.requests.values()].findLast((request) => request.requestId === requestId);
   }
 
   private async order(request: IncomingMessage, response: ServerResponse): Promise<void> {
     const order = (await json(request)) as Order;
-    const fault = await this.suffer(this.given.orderFaults, response);
+    const fault = await this.applyFault(this.overrides.orderFaults, response);
     if (!fault) return;
     if (fault.type === 'cut') response.destroy();
-    this.replyToOrder = response;
+    this.orderResponse = response;
     this.apply({ type: 'order', order });
-    this.note();
+    this.recordState();
   }
 
   private answerOrder(status: number, body: object): void {
-    if (this.replyToOrder && !this.replyToOrder.destroyed) {
-      sendJson(this.replyToOrder, status, body);
+    if (this.orderResponse && !this.orderResponse.destroyed) {
+      sendJson(this.orderResponse, status, body);
     }
-    this.replyToOrder = undefined;
+    this.orderResponse = undefined;
   }
 
   private load(sizeBytes: number): Promise<void> {
-    const { weightStore } = this.given;
+    const { weightStore } = this.overrides;
     if (weightStore) return weightStore.load(sizeBytes);
     return wait(this.clock.realMs(sizeBytes / this.options.curve.loadBytesPerMs));
   }
 
-  /** What an engine began before a restart is not ended after it. */
-  private endLater(type: 'loaded' | 'changed', order: Order, done: Promise<void>): void {
+  /** Applies `type` once `done` resolves, unless the engine has restarted in between. */
+  private completeLater(type: 'loaded' | 'changed', order: Order, done: Promise<void>): void {
     const { restarts } = this.state;
     void done.then(() => {
       if (restarts !== this.state.restarts) return;
       this.apply({ type, order });
-      this.note();
+      this.recordState();
     });
   }
 
-  private note(): void {
-    this.history.note(performance.now(), this.state);
+  private recordState(): void {
+    this.history.record(performance.now(), this.state);
   }
 
   private report(response: ServerResponse): void {
-    this.note();
+    this.recordState();
     const nowMs = performance.now();
-    const { atMs, sequence, state } = this.history.told(nowMs);
+    const { atMs, sequence, state } = this.history.visibleSnapshot(nowMs);
     const report = reportOf(state, this.options, {
-      engineId: this.given.engineId ?? 'engine',
+      engineId: this.overrides.engineId ?? 'engine',
       sequence,
       ageMs: Math.ceil(nowMs - atMs),
       leaving: this.isLeaving,
@@ -289,10 +289,10 @@
   }
 
   private cacheEvents(request: IncomingMessage, response: ServerResponse): void {
-    this.note();
+    this.recordState();
     const after = Number(new URL(request.url ?? '', 'http://engine').searchParams.get('after'));
-    const { cache } = this.history.told(performance.now()).state;
-    const lostPercent = this.given.lostCacheEventPercent ?? 0;
+    const { cache } = this.history.visibleSnapshot(performance.now()).state;
+    const lostPercent = this.overrides.lostCacheEventPercent ?? 0;
     const events = cache.events.filter(
       ({ sequence }) => sequence > after && foldText(String(sequence)) % PERCENT >= lostPercent,
     );
--- a/standin/engine/fakeengineoptions.ts
+++ b/standin/engine/fakeengineoptions.ts
@@ -2,23 +2,24 @@
 import type { FakeWeightStore } from '../weights/fakeweightstore.js';
 import type { EngineOptions } from './engineoptions.js';
 
-/** Options of the stand-in engine; what is not given has the default that stands in brackets. */
+/** Options of the stand-in engine, with defaults in brackets. */
 export interface FakeEngineOptions extends Partial<EngineOptions> {
   readonly engineId?: string;
-  /** A fixed time between tokens in place of the curve. */
+  /** Fixed time between tokens, used instead of the curve; prefill then takes no time. */
   readonly tokenMs?: number;
-  /** How much faster the engine's time runs than real time [1]. */
+  /** Speed of engine time relative to real time [1]. */
   readonly speed?: number;
-  /** How old reports and cache events are, in real time [0]. */
+  /** Age of reports and cache events, in real time [0]. */
   readonly reportLagMs?: number;
-  /** Cache events out of a hundred that are never told [0]. */
+  /** Percentage of cache events that are never reported [0]. */
   readonly lostCacheEventPercent?: number;
-  /** Where weights come from [a store of its own, at the curve's speed]. */
+  /** Store that weights are loaded from [none: loads run at the speed of the curve]. */
   readonly weightStore?: FakeWeightStore;
-  /** What goes wrong with generations, and with orders [nothing]. */
+  /** Faults of generations [none]. */
   readonly faults?: FaultList;
+  /** Faults of orders [none]. */
   readonly orderFaults?: FaultList;
-  /** Models in memory from the start [none]. */
+  /** Models that are loaded at the start [none]. */
   readonly residents?: readonly {
     readonly model: string;
     readonly version?: string;
--- a/standin/engine/nexttoken.ts
+++ b/standin/engine/nexttoken.ts
@@ -1,11 +1,11 @@
 import { VOCABULARY } from './vocabulary.js';
 
-const NUMBERS = 97;
+const NUMBER_COUNT = 97;
 
 /**
- * The token that follows a text with this hash. It depends on the whole text before it, as with greedy
- * decoding, so a text that is continued anywhere ends in the same bytes.
+ * Returns the token that follows a text with this hash. It depends on the entire preceding text, as with greedy
+ * decoding, so an answer that is continued on another engine has the same bytes.
  */
 export function nextToken(textHash: number): string {
-  return ` ${VOCABULARY[textHash % VOCABULARY.length]}${textHash % NUMBERS}`;
+  return ` ${VOCABULARY[textHash % VOCABULARY.length]}${textHash % NUMBER_COUNT}`;
 }
--- a/standin/engine/prefixcache.ts
+++ b/standin/engine/prefixcache.ts
@@ -1,9 +1,9 @@
-/** A prefix cache with a limited number of blocks; the one used longest ago goes first. */
+/** A prefix cache of limited capacity, which evicts the least recently used block first. */
 export interface PrefixCache {
-  /** Hashes of blocks, the one used longest ago first. */
+  /** Hashes of blocks, least recently used first. */
   readonly blocks: ReadonlySet<number>;
   readonly lastSequence: number;
-  /** The latest changes, oldest first. */
+  /** The most recent changes, oldest first. */
   readonly events: readonly {
     readonly sequence: number;
     readonly type: 'stored' | 'evicted';
--- a/standin/engine/promptof.ts
+++ b/standin/engine/promptof.ts
@@ -1,10 +1,10 @@
-import type { Ask } from './ask.js';
+import type { GenerationRequest } from './generationrequest.js';
 
-/** The text that generation goes on from. */
-export function promptOf(ask: Ask): string {
+/** Returns the text that generation continues from. */
+export function promptOf(ask: GenerationRequest): string {
   if (ask.prompt !== undefined) return ask.prompt;
   const contents = (ask.messages ?? []).map(({ content }) => content);
   if (!ask.continue_final_message) return contents.join('\n');
-  const begun = contents.pop() ?? '';
-  return contents.join('\n') + begun;
+  const partialAnswer = contents.pop() ?? '';
+  return contents.join('\n') + partialAnswer;
 }
--- a/standin/engine/reportof.ts
+++ b/standin/engine/reportof.ts
@@ -5,11 +5,11 @@
 
 const REPORTED_ORDERS = 200;
 
-/** What an engine in this state tells of itself. */
+/** Builds the report of an engine in this state. */
 export function reportOf(
   state: EngineState,
   options: EngineOptions,
-  told: Pick<EngineReport, 'engineId' | 'sequence' | 'ageMs' | 'leaving'>,
+  identity: Pick<EngineReport, 'engineId' | 'sequence' | 'ageMs' | 'leaving'>,
 ): EngineReport {
   const phases = [...state.requests.values()].map(({ phase }) => phase);
   const { weightBytes, kvBytes } = usedBytes(state, options);
@@ -20,8 +20,8 @@
       .map(({ id, sizeBytes }) => ({ id, sizeBytes })),
   }));
   return {
-    ...told,
-    engineId: `${told.engineId}.${state.restarts}`,
+    ...identity,
+    engineId: `${identity.engineId}.${state.restarts}`,
     settledOrderIds: state.settledOrderIds.slice(-REPORTED_ORDERS),
     highestFencingToken: state.highestFencingToken as EngineReport['highestFencingToken'],
     usedBytes: weightBytes + kvBytes,
--- a/standin/engine/requestof.ts
+++ b/standin/engine/requestof.ts
@@ -1,4 +1,4 @@
-import type { Ask } from './ask.js';
+import type { GenerationRequest } from './generationrequest.js';
 import { countGenerated } from './countgenerated.js';
 import type { EngineRequest } from './enginestate.js';
 import { foldText } from './foldtext.js';
@@ -7,16 +7,16 @@
 
 const CHARS_PER_TOKEN = 4;
 
-/** A generation as the engine's core takes it; `tokens` make a whole answer. */
+/** Converts a generation request to the form of the engine's core; `tokens` is the length of a complete answer. */
 export function requestOf(
-  ask: Ask,
+  ask: GenerationRequest,
   tokens: number,
-  told: Pick<EngineRequest, 'key' | 'requestId' | 'priority'>,
+  identity: Pick<EngineRequest, 'key' | 'requestId' | 'priority'>,
 ): EngineRequest {
   const prompt = promptOf(ask);
   const left = Math.max(0, tokens - countGenerated(prompt));
   return {
-    ...told,
+    ...identity,
     model: ask.model,
     textHash: foldText(prompt),
     blocks: splitBlocks(prompt),
--- a/standin/engine/restart.ts
+++ b/standin/engine/restart.ts
@@ -3,7 +3,7 @@
 import type { EngineEffect } from './engineeffect.js';
 import type { EngineState } from './enginestate.js';
 
-/** The engine loses all that it held but the highest fencing token; every answer that ran is cut. */
+/** Restarts the engine: clears all state except the counters and the highest fencing token, and cuts every answer. */
 export function restart(state: EngineState): Transition<EngineState, EngineEffect> {
   const live = [...state.requests.values()].filter(
     ({ phase }) => phase === 'running' || phase === 'waiting',
--- a/standin/engine/runsteps.ts
+++ b/standin/engine/runsteps.ts
@@ -19,16 +19,16 @@
   return best;
 }
 
-/** Whether the KV cache of one more request fits beside what is held. */
+/** Returns true if the KV cache of one more request fits into the remaining memory. */
 function fits(state: EngineState, options: EngineOptions, request: EngineRequest): boolean {
   if (options.memoryBytes === undefined) return true;
   const { weightBytes, kvBytes } = usedBytes(state, options);
-  const needBytes = (request.promptTokens + request.tokens) * options.kvCacheBytesPerToken;
-  if (options.kvCacheBytes > 0) return kvBytes + needBytes <= options.kvCacheBytes;
-  return weightBytes + kvBytes + needBytes <= options.memoryBytes;
+  const requiredBytes = (request.promptTokens + request.tokens) * options.kvCacheBytesPerToken;
+  if (options.kvCacheBytes > 0) return kvBytes + requiredBytes <= options.kvCacheBytes;
+  return weightBytes + kvBytes + requiredBytes <= options.memoryBytes;
 }
 
-/** Fills the batch from those who wait, and begins a step if there is anything to run. */
+/** Fills the batch from the waiting requests and starts a step if any request runs. */
 function beginStep(
   state: EngineState,
   options: EngineOptions,
@@ -41,8 +41,8 @@
   let prefillTokens = 0;
   for (let next = nextWaiting(requests); next; next = nextWaiting(requests)) {
     if (running >= options.maxRunning || !fits({ ...state, requests }, options, next)) break;
-    const { hits, cache: used } = useCache(cache, next.blocks, options.cacheBlocks);
-    cache = used;
+    const { hits, cache: updated } = useCache(cache, next.blocks, options.cacheBlocks);
+    cache = updated;
     running += 1;
     const cached = Math.max(hits * TOKENS_PER_BLOCK, next.importedTokens ?? 0);
     if (!next.imported) prefillTokens += Math.max(0, next.promptTokens - cached);
@@ -56,10 +56,13 @@
     busyMs: state.counts.busyMs + tookMs,
     prefillTokens: state.counts.prefillTokens + prefillTokens,
   };
-  return { state: { ...state, requests, cache, counts, stepEndsAtMs: nowMs + tookMs }, effects };
+  return {
+    state: { ...state, requests, cache, counts, stepEndsAtMs: nowMs + tookMs },
+    effects,
+  };
 }
 
-/** Ends the running step: each running request has one token more. */
+/** Ends the current step: each running request gains one token. */
 function endStep(state: EngineState): Transition<EngineState, EngineEffect> {
   const requests = new Map(state.requests);
   const effects: EngineEffect[] = [];
@@ -80,7 +83,7 @@
   };
 }
 
-/** Runs every step that is due by now, and begins the next. */
+/** Runs every step that is due by `nowMs` and starts the next one. */
 export function runSteps(
   start: EngineState,
   options: EngineOptions,
--- a/standin/engine/splitblocks.ts
+++ b/standin/engine/splitblocks.ts
@@ -1,9 +1,9 @@
 import { foldText } from './foldtext.js';
 
-/** Characters of a block: sixteen tokens of four characters. */
+/** Block size in characters: 16 tokens of 4 characters. */
 const BLOCK_CHARS = 64;
 
-/** Hashes of a prompt's whole leading blocks; each hash covers all blocks before it too. */
+/** Returns the hashes of a prompt's complete leading blocks. Each hash also covers all preceding blocks. */
 export function splitBlocks(prompt: string): readonly number[] {
   const blocks: number[] = [];
   let hash: number | undefined;
--- a/standin/engine/stepengine.ts
+++ b/standin/engine/stepengine.ts
@@ -1,5 +1,5 @@
 import type { Transition } from '../../src/base/index.js';
-import { endOrder } from './endorder.js';
+import { completeOrder } from './completeorder.js';
 import type { EngineEffect } from './engineeffect.js';
 import type { EngineEvent } from './engineevent.js';
 import type { EngineOptions } from './engineoptions.js';
@@ -7,18 +7,18 @@
 import { isOvercommitted } from './isovercommitted.js';
 import { restart } from './restart.js';
 import { runSteps } from './runsteps.js';
-import { takeOrder } from './takeorder.js';
+import { acceptOrder } from './acceptorder.js';
 
-type Changed = Transition<EngineState, EngineEffect>;
+type EngineChange = Transition<EngineState, EngineEffect>;
 type Handlers = {
   readonly [Type in EngineEvent['type']]: (
     state: EngineState,
     event: Extract<EngineEvent, { type: Type }>,
     options: EngineOptions,
-  ) => Changed;
+  ) => EngineChange;
 };
 
-/** Answers that are kept for a resume, at most. */
+/** Number of known requests above which the oldest kept and finished ones are deleted. */
 const KEPT_ANSWERS = 2000;
 
 function isReady(state: EngineState, name: string, options: EngineOptions): boolean {
@@ -40,7 +40,7 @@
   return { ...state, requests };
 }
 
-/** A generation that goes on from an imported cache prefills only what that does not hold. */
+/** Adds a request. If its KV cache was imported, only the tokens beyond that cache are prefilled. */
 function useImported(state: EngineState, request: EngineRequest): EngineState {
   const imported = [...state.requests.values()].findLast(
     ({ requestId, model, imported: isImported, blocks }) =>
@@ -54,7 +54,7 @@
   return withRequest(state, { ...request, importedTokens });
 }
 
-function setPhase(state: EngineState, key: number, phase: EngineRequest['phase']): Changed {
+function setPhase(state: EngineState, key: number, phase: EngineRequest['phase']): EngineChange {
   const request = state.requests.get(key);
   if (!request || request.phase === 'finished') return { state, effects: [] };
   return { state: withRequest(state, { ...request, phase }), effects: [] };
@@ -67,9 +67,9 @@
       return { state, effects: [{ type: 'refused', key: request.key, reason }] };
     }
     if (request.tokens > 0) return { state: useImported(state, request), effects: [] };
-    const whole = { ...request, phase: 'finished' as const };
+    const finished = { ...request, phase: 'finished' as const };
     return {
-      state: withRequest(state, whole),
+      state: withRequest(state, finished),
       effects: [{ type: 'finished', key: request.key }],
     };
   },
@@ -86,39 +86,42 @@
     return { state: { ...state, requests }, effects };
   },
   import: (state, { request }) => ({ state: withRequest(state, request), effects: [] }),
-  order: (state, { order }, options) => takeOrder(state, order, options),
-  loaded: (state, { order }) => endOrder(state, order),
-  changed: (state, { order }) => endOrder(state, order),
+  order: (state, { order }, options) => acceptOrder(state, order, options),
+  loaded: (state, { order }) => completeOrder(state, order),
+  changed: (state, { order }) => completeOrder(state, order),
   tick: (state) => ({ state, effects: [] }),
   crash: (state) => restart(state),
 };
 
-function overflow(state: EngineState, options: EngineOptions): Changed {
+function handleOvercommit(state: EngineState, options: EngineOptions): EngineChange {
   const counts = { ...state.counts, overcommits: state.counts.overcommits + 1 };
   const lost = restart({ ...state, counts });
-  const detail = `More than ${options.memoryBytes} bytes were asked of the accelerators.`;
-  return { state: lost.state, effects: [...lost.effects, { type: 'overcommitted', detail }] };
+  const detail = `The accelerator memory of ${options.memoryBytes} bytes is exceeded; the engine restarts.`;
+  return {
+    state: lost.state,
+    effects: [...lost.effects, { type: 'overcommitted', detail }],
+  };
 }
 
 /**
- * The stand-in engine's core: one event in, the next state and what the shell has to do out. Memory
- * that overflows takes the whole engine down, as it would, and is counted.
+ * The stand-in engine's core: takes an event and returns the next state and the effects for the shell to carry out.
+ * As in a real engine, exceeding the memory crashes the engine, which is counted.
  */
 export function stepEngine(
   state: EngineState,
   event: EngineEvent,
   nowMs: number,
   options: EngineOptions,
-): Changed {
+): EngineChange {
   const due = runSteps(state, options, nowMs);
   const handle = HANDLERS[event.type] as (
     state: EngineState,
     event: EngineEvent,
     options: EngineOptions,
-  ) => Changed;
+  ) => EngineChange;
   const handled = handle(due.state, event, options);
   const checked = isOvercommitted(handled.state, options)
-    ? overflow(handled.state, options)
+    ? handleOvercommit(handled.state, options)
     : { state: handled.state, effects: [] };
   const begun = runSteps(checked.state, options, nowMs);
   return {
--- a/standin/engine/usecache.ts
+++ b/standin/engine/usecache.ts
@@ -2,7 +2,7 @@
 
 const KEPT_EVENTS = 1000;
 
-/** Looks a prompt up and stores it: how many leading blocks were held, and the cache afterwards. */
+/** Looks up a prompt and stores it. Returns the number of leading blocks found and the updated cache. */
 export function useCache(
   cache: PrefixCache,
   blocks: readonly number[],
@@ -14,18 +14,18 @@
   const held = new Set(cache.blocks);
   const events = [...cache.events];
   let { lastSequence } = cache;
-  const note = (type: 'stored' | 'evicted', block: number) => {
+  const record = (type: 'stored' | 'evicted', block: number) => {
     lastSequence += 1;
     events.push({ sequence: lastSequence, type, prefixHash: block.toString(16) });
   };
   for (const block of blocks) {
-    if (!held.delete(block)) note('stored', block);
+    if (!held.delete(block)) record('stored', block);
     held.add(block);
   }
   for (const oldest of held) {
     if (held.size <= capacity) break;
     held.delete(oldest);
-    note('evicted', oldest);
+    record('evicted', oldest);
   }
   return { hits, cache: { blocks: held, lastSequence, events: events.slice(-KEPT_EVENTS) } };
 }
--- a/standin/engine/usedbytes.ts
+++ b/standin/engine/usedbytes.ts
@@ -1,7 +1,7 @@
 import type { EngineOptions } from './engineoptions.js';
 import type { EngineState } from './enginestate.js';
 
-/** Memory that weights, adapters and the KV cache of running requests (to their end) take. */
+/** Returns the memory of weights and adapters, and of the KV cache that the running requests need until their end. */
 export function usedBytes(
   state: EngineState,
   options: EngineOptions,
--- a/standin/engine/vocabulary.ts
+++ b/standin/engine/vocabulary.ts
@@ -1,4 +1,4 @@
-/** The words that the stand-in engine knows. */
+/** Words that the stand-in engine builds its tokens from. */
 export const VOCABULARY = [
   'parcel',
   'notice',
--- a/standin/engine/writeanswer.ts
+++ b/standin/engine/writeanswer.ts
@@ -17,7 +17,7 @@
   answer.response?.end('data: [DONE]\n\n');
 }
 
-/** Writes an answer in OpenAI's form: server-sent events with the token's index as id, or whole. */
+/** Writes answers in OpenAI's format: as server-sent events with the token index as id, or as one document. */
 export const writeAnswer = {
   start({ response, requestId, stream }: Answer): void {
     response?.setHeader('x-request-id', requestId);
--- a/standin/fault/fault.ts
+++ b/standin/fault/fault.ts
@@ -1,13 +1,13 @@
-/** What goes wrong with one call to a stand-in. */
+/** A fault that is injected into one call to a stand-in. */
 export type Fault =
   | { readonly type: 'none' }
-  /** The call is handled this much later. */
+  /** The call is handled after this delay. */
   | { readonly type: 'delay'; readonly delayMs: number }
-  /** The call never arrives: its connection closes and nothing runs. */
+  /** The call is lost: its connection closes and nothing runs. */
   | { readonly type: 'loss' }
-  /** The answer carries the id and contents of another request. */
+  /** The answer carries the id and content of another request. */
   | { readonly type: 'crossing' }
-  /** The call runs, and its answer breaks off after so many tokens (or before a plain answer). */
+  /** The call runs, but its answer is cut after this many tokens; a plain answer is cut before its start. */
   | { readonly type: 'cut'; readonly afterTokens: number }
-  /** The stand-in loses all that it holds. */
+  /** The stand-in loses its state. */
   | { readonly type: 'crash' };
--- a/standin/fault/faultlist.ts
+++ b/standin/fault/faultlist.ts
@@ -1,6 +1,6 @@
 import type { Fault } from './fault.js';
 
-/** Gives the fault of each call to a stand-in, in the order of the calls. */
+/** Supplies the fault of each call to a stand-in, in the order of the calls. */
 export interface FaultList {
   next(): Fault;
 }
--- a/standin/fault/fixedfaults.ts
+++ b/standin/fault/fixedfaults.ts
@@ -1,7 +1,7 @@
 import type { Fault } from './fault.js';
 import type { FaultList } from './faultlist.js';
 
-/** The given faults for the first calls, then none. */
+/** Injects the given faults into the first calls and none into later ones. */
 export function fixedFaults(faults: readonly Fault[]): FaultList {
   let call = 0;
   return {
--- a/standin/fault/nofaults.ts
+++ b/standin/fault/nofaults.ts
@@ -1,4 +1,4 @@
 import type { FaultList } from './faultlist.js';
 
-/** Nothing goes wrong. */
+/** Injects no faults. */
 export const noFaults: FaultList = { next: () => ({ type: 'none' }) };
--- a/standin/fault/seededfaults.ts
+++ b/standin/fault/seededfaults.ts
@@ -4,7 +4,7 @@
 import type { Fault } from './fault.js';
 import type { FaultList } from './faultlist.js';
 
-/** Share of the calls, from 0 to 1, that each fault befalls. */
+/** Probability of each fault, from 0 to 1. */
 interface FaultShares {
   readonly delay?: number;
   readonly loss?: number;
@@ -17,7 +17,7 @@
 const MAX_DELAY_MS = 200;
 const MAX_TOKENS_BEFORE_CUT = 10;
 
-/** Faults drawn from a seed: the same seed gives the same list. */
+/** Draws faults at random; the same seed gives the same list. */
 export function seededFaults(seed: number, shares: FaultShares): FaultList {
   const random = xoroshiro128plus(seed);
   const make: Readonly<Record<(typeof ORDER)[number], () => Fault>> = {
--- a/standin/hosts/fakehostlist.ts
+++ b/standin/hosts/fakehostlist.ts
@@ -1,7 +1,7 @@
 import { LoopbackServer } from '../loopbackserver.js';
 import { sendJson } from '../sendjson.js';
 
-/** One host, as the platform lists it. */
+/** A host as it appears in the platform's list. */
 interface ListedHost {
   readonly id: string;
   readonly role: 'entry' | 'sidecar';
@@ -11,30 +11,30 @@
   readonly state: 'live' | 'leaving';
 }
 
-interface Edition {
+interface ListVersion {
   readonly atMs: number;
   readonly hosts: readonly ListedHost[];
 }
 
-/** A stand-in for the platform's list of hosts: a GET of any path gives it as it was a while ago. */
+/** A stand-in for the platform's list of hosts. A GET of any path returns the list as it was `lagMs` ago. */
 export class FakeHostList {
-  private editions: Edition[] = [{ atMs: -Infinity, hosts: [] }];
+  private versions: ListVersion[] = [{ atMs: -Infinity, hosts: [] }];
 
   private readonly server = new LoopbackServer((_request, response) =>
-    sendJson(response, 200, this.told()),
+    sendJson(response, 200, this.visibleHosts()),
   );
 
   constructor(private readonly lagMs = 0) {}
 
-  /** What the list becomes, once the lag has passed. */
+  /** Replaces the list; readers see the change after `lagMs`. */
   set(hosts: readonly ListedHost[]): void {
-    this.editions = [...this.editions, { atMs: performance.now(), hosts }];
+    this.versions = [...this.versions, { atMs: performance.now(), hosts }];
   }
 
-  /** The hosts that a reader is told of now. */
-  told(): readonly ListedHost[] {
+  /** Returns the hosts that a reader sees now. */
+  visibleHosts(): readonly ListedHost[] {
     const limitMs = performance.now() - this.lagMs;
-    return this.editions.findLast(({ atMs }) => atMs <= limitMs)?.hosts ?? [];
+    return this.versions.findLast(({ atMs }) => atMs <= limitMs)?.hosts ?? [];
   }
 
   listen(): Promise<string> {
--- a/standin/index.ts
+++ b/standin/index.ts
@@ -1,4 +1,4 @@
-/** Stand-ins for what lies outside the system. Not shipped. */
+/** Stand-ins for external systems, for tests, benchmarks and the demo. Not shipped. */
 export type { Curve } from './engine/curve.js';
 export { defaultCurve } from './engine/defaultcurve.js';
 export { expectedAnswer } from './engine/expectedanswer.js';
--- a/standin/loopbackserver.ts
+++ b/standin/loopbackserver.ts
@@ -2,7 +2,7 @@
 
 type Handler = (request: IncomingMessage, response: ServerResponse) => Promise<void> | void;
 
-/** An HTTP server on a free port of the loopback. */
+/** An HTTP server on a free loopback port. */
 export class LoopbackServer {
   private readonly server;
 
@@ -15,7 +15,7 @@
     });
   }
 
-  /** Listens and gives the URL. */
+  /** Starts listening and returns the URL. */
   listen(): Promise<string> {
     return new Promise((resolve) => {
       this.server.listen(0, '127.0.0.1', () => {
--- a/standin/platform/configurationof.ts
+++ b/standin/platform/configurationof.ts
@@ -1,4 +1,4 @@
-/** A route as a stand-in's operator writes it; the rest is the same for all. */
+/** The settings of a route that differ between tests; all others are fixed. */
 interface RouteChoice {
   readonly name: string;
   readonly kind: string;
@@ -10,13 +10,14 @@
   readonly isPublic?: boolean;
 }
 
-/** A customer as a stand-in's operator writes it. */
+/** The settings of a customer that differ between tests. */
 interface CustomerChoice {
   readonly name: string;
   readonly keys: readonly string[];
   readonly priority?: number;
-  /** Tokens a second, and at once. */
+  /** Tokens per second. */
   readonly rate?: number;
+  /** Tokens that may be used at once. */
   readonly burst?: number;
 }
 
@@ -30,7 +31,7 @@
   return { name, api_keys: keys, priority, ...unit, rate_per_s: rate ?? 0, burst: burst ?? 0 };
 }
 
-/** A configuration of the prepared platform: a plain service and engines of three models, two at a time. */
+/** Returns a configuration with a plain service and an engine service whose engines hold two of three models. */
 export function configurationOf(
   version: number,
   host: string,
--- a/standin/platform/index.ts
+++ b/standin/platform/index.ts
@@ -1,4 +1,4 @@
-/** The prepared platform in miniature, for tests: its store and its servers. */
-export { PlatformServer, type ServerManner } from './platformserver.js';
+/** Stand-ins for the platform's store and servers, for tests. */
+export { PlatformServer, type ServerBehavior } from './platformserver.js';
 export { PlatformStore } from './platformstore.js';
 export { configurationOf } from './configurationof.js';
--- a/standin/platform/platformserver.ts
+++ b/standin/platform/platformserver.ts
@@ -2,23 +2,29 @@
 import { LoopbackServer } from '../loopbackserver.js';
 import { sendJson } from '../sendjson.js';
 
-/** What a server does with the next request. */
-export type ServerManner =
+/** How a server handles the next request. */
+export type ServerBehavior =
   | 'serve'
-  /** As `serve`, but only after a while. */
+  /** Like `serve`, but after a delay. */
   | 'slow'
+  /** Refuses the request. */
   | 'full'
-  /** Turns the request away and wants nothing from the entry for a while. */
+  /** Refuses the request and asks the entry for a backoff. */
   | 'pause'
   | 'error'
   | 'reset'
+  /** Sends no answer. */
   | 'silent'
+  /** Sends the id of another request in the answer. */
   | 'other-id'
   | 'encoded'
   | 'unsigned'
   | 'cut'
+  /** Sends part of an answer without a length and resets the connection. */
   | 'unframed'
+  /** Sends the first event of a stream; `resumeStream` sends the rest. */
   | 'paused'
+  /** Sends an unsolicited second answer. */
   | 'extra';
 
 interface Order {
@@ -30,86 +36,88 @@
   readonly fencing_token: number;
 }
 
-/** A request that came, and what became of it here. */
-interface Seen {
+/** A request that was run, and its outcome. */
+interface RequestRecord {
   readonly id: string;
   readonly path: string;
   readonly atMs: number;
-  readonly manner: ServerManner;
-  /** Whose request it is, as the entry said, and whether the caller's own credential came with it. */
+  readonly behavior: ServerBehavior;
+  /** Customer that the entry named in the request. */
   readonly customer: string | undefined;
+  /** True if the request carried the caller's own credential. */
   readonly hasCredential: boolean;
-  /** When its connection closed. */
+  /** When the connection closed. */
   closedAtMs: number | undefined;
 }
 
-/** A request that it turned away. */
-interface TurnedAway {
+/** A request that was refused. */
+interface RefusalRecord {
   readonly id: string;
   readonly atMs: number;
-  /** For how long it wanted nothing more from the entry that sent it; undefined if it did not say. */
-  readonly pauseMs: number | undefined;
+  /** Backoff that the entry was asked for; undefined if none. */
+  readonly backoffMs: number | undefined;
 }
 
-/** A time in which it named a limit. */
+/** A period in which the server announced a rate limit. */
 interface LimitSpan {
   readonly perS: number;
   readonly fromMs: number;
   untilMs: number | undefined;
 }
 
-/** An order that came, and when. */
-interface SeenOrder {
+/** An order that was received. */
+interface OrderRecord {
   readonly order: Order;
   readonly atMs: number;
 }
 
-/** What happens to the next order: its answer is lost, or it is carried out only after this many ms. */
+/** Fault of the next order: its answer is lost; with `late`, it is also executed only after `ms`. */
 type OrderFault = { readonly type: 'answer-lost' } | { readonly type: 'late'; readonly ms: number };
 
-/** Models and adapters that it has room for; what is ordered beyond them is counted. */
-const MODEL_PLACES = 2;
-const ADAPTER_PLACES = 2;
+/** Capacity for models and adapters; loads beyond it are counted as overcommits. */
+const MODEL_SLOTS = 2;
+const ADAPTER_SLOTS = 2;
 const SLOW_MS = 400;
 const MS_PER_S = 1000;
 const EVENTS = 5;
 const BODY = 'the whole answer';
 
-/** One server of the prepared platform: runs requests, takes orders, and misbehaves as told. */
+/** A stand-in for a server of the platform. Runs requests, accepts orders and injects faults on demand. */
 export class PlatformServer {
-  /** Manners of the next requests; `serve` once they are used up. */
-  readonly manners: ServerManner[] = [];
+  /** How the next requests are handled; `serve` once the list is empty. */
+  readonly behaviors: ServerBehavior[] = [];
 
-  /** Headers of the requests that ran, in order. */
-  readonly ran: IncomingMessage['headers'][] = [];
+  /** Headers of the requests that were run, in order. */
+  readonly runs: IncomingMessage['headers'][] = [];
 
+  /** Orders that were accepted, in order. */
   readonly orders: Order[] = [];
 
   /** Every request that was run, in order. */
-  readonly seen: Seen[] = [];
+  readonly requestLog: RequestRecord[] = [];
 
-  /** Every request that it turned away, in order. */
-  readonly turnedAway: TurnedAway[] = [];
+  /** Every request that was refused, in order. */
+  readonly refusals: RefusalRecord[] = [];
 
-  /** Every order that came, in order. */
-  readonly seenOrders: SeenOrder[] = [];
+  /** Every order that was received, in order. */
+  readonly orderLog: OrderRecord[] = [];
 
   /** Faults of the next orders. */
   readonly orderFaults: OrderFault[] = [];
 
-  /** Loads for which it had no room. */
-  overfullCount = 0;
+  /** Number of orders after which models or adapters exceeded the capacity. */
+  overcommitCount = 0;
 
-  /** Adapters of each model that it holds. */
+  /** Loaded models with their adapters. */
   readonly models = new Map<string, Set<string>>();
 
   address = '';
 
-  /** Unix ms of its start; a restart is a newer one, also within the same ms. */
+  /** Unix time of the start, in ms. Increases with every restart, also within the same ms. */
   private startedAtMs = Date.now();
 
-  /** Orders of earlier starts: a start counts anew. */
-  private ordersBefore = 0;
+  /** Number of orders accepted before the last restart, which resets the reported count. */
+  private earlierOrderCount = 0;
 
   private namedLimitPerS: number | undefined;
 
@@ -117,31 +125,31 @@
     this.handle(request, response),
   );
 
-  /** Ends a stream that stands still. */
-  resume: () => void = () => {};
+  /** Completes a stream that `paused` has interrupted. */
+  resumeStream: () => void = () => {};
 
-  /** Called after an order, so that a test can write the server's entry anew. */
-  changed: () => void = () => {};
+  /** Called after each order and restart, so that a test can update the server's record in the store. */
+  onChange: () => void = () => {};
 
-  /** Paths whose requests end this server, by how many ms after their run began. */
-  crashing: ReadonlyMap<string, number> = new Map();
+  /** Paths whose requests crash this server, with the delay from the start of the run to the crash, in ms. */
+  crashDelayMsByPath: ReadonlyMap<string, number> = new Map();
 
-  /** Called when it has ended under a request. */
-  crashed: () => void = () => {};
+  /** Called when the server has crashed. */
+  onCrash: () => void = () => {};
 
   isDown = false;
 
-  /** The limits that it has named, with the times at which it did. */
+  /** The rate limits that were announced, with their periods. */
   readonly limitSpans: LimitSpan[] = [];
 
-  /** When it started again. */
+  /** Times of the restarts. */
   readonly restartedAtMs: number[] = [];
 
-  /** Says in all its answers that it leaves. */
+  /** Marks the server as leaving in all its answers. */
   isLeaving = false;
 
-  /** What it says to those that it turns away with `pause`. */
-  pauseText = '30';
+  /** Value of `Retry-After` in answers of `pause`. */
+  retryAfterText = '30';
 
   constructor(
     readonly id: string,
@@ -157,19 +165,19 @@
     this.server.close();
   }
 
-  /** Starts again under its id: holds and knows nothing of before. Its connections are whoever's calls this to reset. */
+  /** Restarts under the same id and loses all state. The caller has to reset the connections. */
   restart(): void {
     this.startedAtMs = Math.max(Date.now(), this.startedAtMs + 1);
-    this.ordersBefore = this.orders.length;
+    this.earlierOrderCount = this.orders.length;
     this.models.clear();
-    this.manners.length = 0;
+    this.behaviors.length = 0;
     this.limitPerS = undefined;
     this.isLeaving = false;
     this.restartedAtMs.push(performance.now());
-    this.changed();
+    this.onChange();
   }
 
-  /** Requests a second that it takes from all entries together, as all its answers say; undefined without a limit. */
+  /** Requests per second that the server accepts from all entries together; announced in all answers. */
   set limitPerS(perS: number | undefined) {
     const nowMs = performance.now();
     const last = this.limitSpans.at(-1);
@@ -178,7 +186,7 @@
     this.namedLimitPerS = perS;
   }
 
-  /** What it writes about itself in the store. */
+  /** Returns the record that the server writes to the store. */
   entry(state = 'ready'): object {
     const models = [...this.models].map(([name, adapters]) => ({
       name,
@@ -190,13 +198,13 @@
     return { service, address, zone, version: 'v1', slots: 4, state, seq: 1, born, models };
   }
 
-  /** Ends at once, with every connection; whoever calls this lets another start come. */
+  /** Stops at once and closes every connection. The test starts a successor. */
   crash(): void {
     if (this.isDown) return;
     this.isDown = true;
     this.limitPerS = undefined;
     this.close();
-    this.crashed();
+    this.onCrash();
   }
 
   private async handle(request: IncomingMessage, response: ServerResponse): Promise<void> {
@@ -208,7 +216,7 @@
     }
     const body = Buffer.concat(chunks).toString('utf8');
     if (request.url === '/order') {
-      this.takeOrder(JSON.parse(body) as Order, request, response);
+      this.receiveOrder(JSON.parse(body) as Order, request, response);
       return;
     }
     if (request.url === '/report') {
@@ -216,8 +224,8 @@
     } else this.serve(request, response);
   }
 
-  private takeOrder(order: Order, request: IncomingMessage, response: ServerResponse): void {
-    this.seenOrders.push({ order, atMs: performance.now() });
+  private receiveOrder(order: Order, request: IncomingMessage, response: ServerResponse): void {
+    this.orderLog.push({ order, atMs: performance.now() });
     const fault = this.orderFaults.shift();
     if (!fault) {
       sendJson(response, this.order(order), {});
@@ -228,7 +236,7 @@
     request.socket.resetAndDestroy();
   }
 
-  /** Carries an order out, and gives the status to answer with. */
+  /** Executes an order and returns the status of the answer. */
   private order(order: Order): number {
     if (order.expected !== undefined && order.expected !== this.orderCount) return 409;
     this.orders.push(order);
@@ -237,20 +245,20 @@
     if (order.adapter !== undefined) adapters?.[isLoad ? 'add' : 'delete'](order.adapter);
     else if (isLoad) this.models.set(order.model, new Set());
     else this.models.delete(order.model);
-    this.countOverfull();
-    this.changed();
+    this.countOvercommit();
+    this.onChange();
     return order.adapter !== undefined && !isLoad ? 200 : 202;
   }
 
-  /** Orders that it has accepted since its start. */
+  /** Number of orders accepted since the last restart. */
   private get orderCount(): number {
-    return this.orders.length - this.ordersBefore;
+    return this.orders.length - this.earlierOrderCount;
   }
 
-  private countOverfull(): void {
+  private countOvercommit(): void {
     let adapterCount = 0;
     for (const adapters of this.models.values()) adapterCount += adapters.size;
-    if (this.models.size > MODEL_PLACES || adapterCount > ADAPTER_PLACES) this.overfullCount += 1;
+    if (this.models.size > MODEL_SLOTS || adapterCount > ADAPTER_SLOTS) this.overcommitCount += 1;
   }
 
   private holds(name: string | undefined): boolean {
@@ -266,89 +274,96 @@
       response.writeHead(421, { 'tarragonstile-not-executed': '1' }).end();
       return;
     }
-    const manner = this.manners.shift() ?? 'serve';
-    if (manner === 'full' || manner === 'pause') {
-      this.turnAway(request, response, manner === 'pause');
+    const behavior = this.behaviors.shift() ?? 'serve';
+    if (behavior === 'full' || behavior === 'pause') {
+      this.refuse(request, response, behavior === 'pause');
       return;
     }
-    this.ran.push(request.headers);
+    this.runs.push(request.headers);
     const id = String(request.headers['tarragonstile-request-id']);
     const path = request.url ?? '';
     const { headers } = request;
-    const seen: Seen = {
+    const record: RequestRecord = {
       id,
       path,
       atMs: performance.now(),
-      manner,
+      behavior,
       customer: headers['tarragonstile-tenant'] as string | undefined,
       hasCredential: headers.authorization !== undefined,
       closedAtMs: undefined,
     };
-    this.seen.push(seen);
+    this.requestLog.push(record);
     response.on('close', () => {
-      seen.closedAtMs = performance.now();
+      record.closedAtMs = performance.now();
     });
-    const crashAfterMs = this.crashing.get(request.url ?? '');
+    const crashAfterMs = this.crashDelayMsByPath.get(request.url ?? '');
     if (crashAfterMs !== undefined) {
       setTimeout(() => this.crash(), crashAfterMs);
       return;
     }
-    if (manner === 'silent') return;
-    if (manner === 'reset') request.socket.resetAndDestroy();
-    else if (manner === 'slow') {
-      setTimeout(() => this.answer(model, request, response, manner), SLOW_MS);
-    } else this.answer(model, request, response, manner);
+    if (behavior === 'silent') return;
+    if (behavior === 'reset') request.socket.resetAndDestroy();
+    else if (behavior === 'slow') {
+      setTimeout(() => this.answer(model, request, response, behavior), SLOW_MS);
+    } else this.answer(model, request, response, behavior);
   }
 
-  private turnAway(request: IncomingMessage, response: ServerResponse, isPause: boolean): void {
+  private refuse(request: IncomingMessage, response: ServerResponse, isPause: boolean): void {
     const id = String(request.headers['tarragonstile-request-id']);
-    const pauseMs = isPause ? Number(this.pauseText) * MS_PER_S : undefined;
-    this.turnedAway.push({ id, atMs: performance.now(), pauseMs });
-    const headers: Record<string, string> = { 'tarragonstile-not-executed': '1', ...this.said() };
-    if (isPause) headers['retry-after'] = this.pauseText;
+    const backoffMs = isPause ? Number(this.retryAfterText) * MS_PER_S : undefined;
+    this.refusals.push({ id, atMs: performance.now(), backoffMs });
+    const headers: Record<string, string> = {
+      'tarragonstile-not-executed': '1',
+      ...this.stateHeaders(),
+    };
+    if (isPause) headers['retry-after'] = this.retryAfterText;
     response.writeHead(503, headers).end();
   }
 
-  /** What it says of itself in all its answers. */
-  private said(): Record<string, string> {
-    const said: Record<string, string> = {};
-    if (this.namedLimitPerS !== undefined) said['server-limit'] = String(this.namedLimitPerS);
-    if (this.isLeaving) said['server-leaving'] = '1';
-    return said;
+  /** Returns the headers with which all answers report the server's state. */
+  private stateHeaders(): Record<string, string> {
+    const headers: Record<string, string> = {};
+    if (this.namedLimitPerS !== undefined) headers['server-limit'] = String(this.namedLimitPerS);
+    if (this.isLeaving) headers['server-leaving'] = '1';
+    return headers;
   }
 
   private answer(
     model: string | undefined,
     request: IncomingMessage,
     response: ServerResponse,
-    manner: ServerManner,
+    behavior: ServerBehavior,
   ): void {
-    if (model === undefined) this.plain(request, response, manner);
-    else this.stream(request, response, manner);
+    if (model === undefined) this.plain(request, response, behavior);
+    else this.stream(request, response, behavior);
   }
 
-  private headersOf(request: IncomingMessage, manner: ServerManner): Record<string, string> {
+  private headersOf(request: IncomingMessage, behavior: ServerBehavior): Record<string, string> {
     const id =
-      manner === 'other-id' ? 'another' : String(request.headers['tarragonstile-request-id']);
+      behavior === 'other-id' ? 'another' : String(request.headers['tarragonstile-request-id']);
     const headers: Record<string, string> = {
       'tarragonstile-request-id': id,
       'tarragonstile-weight-versions': '1',
       'tarragonstile-server-load': '1,0,4',
-      ...this.said(),
+      ...this.stateHeaders(),
     };
-    if (manner !== 'unsigned') headers['tarragonstile-response-signature'] = `by-${this.id}`;
-    if (manner === 'encoded') headers['content-encoding'] = 'gzip';
+    if (behavior !== 'unsigned') headers['tarragonstile-response-signature'] = `by-${this.id}`;
+    if (behavior === 'encoded') headers['content-encoding'] = 'gzip';
     return headers;
   }
 
-  private plain(request: IncomingMessage, response: ServerResponse, manner: ServerManner): void {
-    const headers = this.headersOf(request, manner);
+  private plain(
+    request: IncomingMessage,
+    response: ServerResponse,
+    behavior: ServerBehavior,
+  ): void {
+    const headers = this.headersOf(request, behavior);
     const { socket } = request;
-    if (manner === 'error') {
+    if (behavior === 'error') {
       response.writeHead(500, headers).end('no');
       return;
     }
-    if (manner === 'unframed') {
+    if (behavior === 'unframed') {
       const head = Object.entries(headers).map(([name, value]) => `${name}: ${value}\r\n`);
       socket.write(
         `HTTP/1.1 200 OK\r\n${head.join('')}Connection: close\r\n\r\n${BODY.slice(0, 4)}`,
@@ -357,30 +372,34 @@
       return;
     }
     response.writeHead(200, { ...headers, 'content-length': BODY.length });
-    if (manner === 'cut') {
+    if (behavior === 'cut') {
       response.write(BODY.slice(0, 4), () => socket.resetAndDestroy());
       return;
     }
     response.end(BODY, () => {
-      if (manner === 'extra') socket.write('HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno');
+      if (behavior === 'extra') socket.write('HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno');
     });
   }
 
-  private stream(request: IncomingMessage, response: ServerResponse, manner: ServerManner): void {
+  private stream(
+    request: IncomingMessage,
+    response: ServerResponse,
+    behavior: ServerBehavior,
+  ): void {
     const from = Number(request.headers['last-event-id'] ?? 0);
     response.writeHead(200, {
-      ...this.headersOf(request, manner),
+      ...this.headersOf(request, behavior),
       'content-type': 'text/event-stream',
     });
-    if (manner === 'paused') {
+    if (behavior === 'paused') {
       response.write('id: 1\ndata: piece 1\n\n');
-      this.resume = () => response.end('id: 2\ndata: piece 2\n\n');
+      this.resumeStream = () => response.end('id: 2\ndata: piece 2\n\n');
       return;
     }
     for (let id = from + 1; id <= EVENTS; id += 1) {
       const event = `id: ${id}\ndata: piece ${id}\n\n`;
-      if (manner === 'cut' && id === from + 3) {
-        // Breaks off in the middle of an event.
+      if (behavior === 'cut' && id === from + 3) {
+        // Cuts the stream in the middle of an event.
         response.write(event.slice(0, 8), () => request.socket.resetAndDestroy());
         return;
       }
--- a/standin/platform/platformstore.ts
+++ b/standin/platform/platformstore.ts
@@ -5,7 +5,7 @@
 import { sendJson } from '../sendjson.js';
 import { StoreModel } from '../store/storemodel.js';
 
-/** What the store does to the next call on a path. */
+/** Fault of the next call to a path. */
 type StoreFault = 'unavailable' | 'refused' | 'answer-lost' | 'silent' | 'rubbish';
 
 interface Txn {
@@ -32,14 +32,14 @@
   return Buffer.concat(chunks).toString('utf8');
 }
 
-/** The prepared platform's store, small: one order of revisions, waiting questions, and faults. */
+/** A stand-in for the platform's store, with revisions, long-polling watches and injected faults. */
 export class PlatformStore {
   readonly model = new StoreModel();
 
-  /** Faults of the next calls, by path. */
+  /** Faults of the next calls to each path. */
   readonly faults = new Map<string, StoreFault[]>();
 
-  /** Paths of the calls that came. */
+  /** Paths of all calls received, in order. */
   readonly calls: string[] = [];
 
   private readonly waiting = new Set<() => void>();
@@ -48,7 +48,7 @@
     this.handle(request, response),
   );
 
-  /** Listens and gives its address. */
+  /** Starts listening and returns the address. */
   async listen(): Promise<string> {
     return (await this.server.listen()).slice('http://'.length);
   }
@@ -57,27 +57,27 @@
     this.server.close();
   }
 
-  /** Writes as the operator or a server does. */
+  /** Writes a key unconditionally, as the operator or a server does. */
   put(key: string, value: unknown): void {
     const text = typeof value === 'string' ? value : JSON.stringify(value);
     const expectedRevision = this.model.get(key)?.revision ?? (0 as Revision);
     this.model.swap({ key, value: text, expectedRevision });
-    this.tell();
+    this.notifyWatchers();
   }
 
   remove(key: string): void {
     const expectedRevision = this.model.get(key)?.revision ?? (0 as Revision);
     this.model.swap({ key, value: undefined, expectedRevision });
-    this.tell();
+    this.notifyWatchers();
   }
 
-  /** Forgets the history: those who wait or ask for it have to read everything again. */
+  /** Deletes the history. Watchers have to read everything again. */
   compact(): void {
     this.model.compact();
-    this.tell();
+    this.notifyWatchers();
   }
 
-  private tell(): void {
+  private notifyWatchers(): void {
     for (const act of [...this.waiting]) act();
   }
 
@@ -121,32 +121,32 @@
   private watch(query: URLSearchParams, send: (status: number, value: unknown) => void): void {
     const prefix = query.get('path_prefix') ?? '';
     const after = Number(query.get('after')) as Revision;
-    const look = (isLast: boolean): boolean => {
+    const answerIfDue = (isLast: boolean): boolean => {
       const events = this.model.eventsAfter(prefix, after);
       if (!events) {
         send(410, {});
         return true;
       }
       if (events.length === 0 && !isLast) return false;
-      const told = events.map(({ key, revision, item }) =>
+      const changes = events.map(({ key, revision, item }) =>
         item ? itemOf(item) : { key, revision, deleted: true },
       );
-      send(200, { events: told, current_rev: this.model.revision });
+      send(200, { events: changes, current_rev: this.model.revision });
       return true;
     };
-    if (look(false)) return;
+    if (answerIfDue(false)) return;
     const wait = { timer: setTimeout(() => undefined, 0), again: () => {} };
     const stop = () => {
       clearTimeout(wait.timer);
       this.waiting.delete(wait.again);
     };
     wait.again = () => {
-      if (look(false)) stop();
+      if (answerIfDue(false)) stop();
     };
     wait.timer = setTimeout(
       () => {
         stop();
-        look(true);
+        answerIfDue(true);
       },
       Number(query.get('wait_ms')),
     );
@@ -159,12 +159,12 @@
     const key = condition?.key ?? write?.key ?? '';
     const value = write && Buffer.from(write.value, 'base64').toString('utf8');
     const expectedRevision = (condition?.revision ?? 0) as Revision;
-    const said = this.model.swap({ key, value, expectedRevision });
-    this.tell();
-    if (said.err) send(400, {});
-    else if (said.val.type === 'swapped') send(200, { revision: said.val.revision });
+    const swapped = this.model.swap({ key, value, expectedRevision });
+    this.notifyWatchers();
+    if (swapped.err) send(400, {});
+    else if (swapped.val.type === 'swapped') send(200, { revision: swapped.val.revision });
     else {
-      const { current } = said.val;
+      const { current } = swapped.val;
       send(412, { items: [current ? itemOf(current) : { key, value: '', revision: 0 }] });
     }
   }
--- a/standin/sendjson.ts
+++ b/standin/sendjson.ts
@@ -1,6 +1,6 @@
 import type { ServerResponse } from 'node:http';
 
-/** Answers with JSON. */
+/** Sends a JSON answer. */
 export function sendJson(response: ServerResponse, status: number, body: unknown): void {
   response.writeHead(status, { 'content-type': 'application/json' }).end(JSON.stringify(body));
 }
--- a/standin/service/businesskey.ts
+++ b/standin/service/businesskey.ts
@@ -1,6 +1,6 @@
 const KEY_FIELDS = ['transferId', 'chargeId', 'key'] as const;
 
-/** What a call means to do, whoever repeats it: the header `x-business-key`, or a field of the body. */
+/** Returns the key that identifies the effect of a call across repeats: header `x-business-key` or a body field. */
 export function businessKey(header: string | undefined, body: string): string | undefined {
   if (header) return header;
   if (!body.startsWith('{')) return undefined;
--- a/standin/service/fakeservice.ts
+++ b/standin/service/fakeservice.ts
@@ -7,22 +7,22 @@
 import { sendJson } from '../sendjson.js';
 import { businessKey } from './businesskey.js';
 
-/** Options of the stand-in service; what is not given has the default that stands in brackets. */
+/** Options of the stand-in service, with defaults in brackets. */
 interface FakeServiceOptions {
-  /** How long a call takes [5]. */
+  /** Duration of a call, in ms [5]. */
   readonly serviceMs?: number;
-  /** What goes wrong with calls [nothing]. */
+  /** Faults of calls [none]. */
   readonly faults?: FaultList;
 }
 
 const DEFAULT_SERVICE_MS = 5;
 
 /**
- * A stand-in for a plain service: GET looks up, everything else does what its business key names. What
- * was done is counted when it begins, and not undone by a caller that leaves.
+ * A stand-in for a plain service. GET is a lookup; any other method performs the operation that its business key
+ * identifies. An operation is counted when it starts and is not undone if the caller disconnects.
  */
 export class FakeService {
-  /** Calls that ran, lookups among them. */
+  /** Number of calls that ran, including lookups. */
   ran = 0;
 
   private readonly server = new LoopbackServer((request, response) =>
@@ -35,12 +35,12 @@
 
   constructor(private readonly options: FakeServiceOptions = {}) {}
 
-  /** How often that which this business key names was done. */
+  /** Returns how often the operation with this business key was performed. */
   runs(key: string): number {
     return this.runsByKey.get(key) ?? 0;
   }
 
-  /** Every business key that was done here, with how often. */
+  /** Returns every business key with the number of times that its operation was performed. */
   allRuns(): ReadonlyMap<string, number> {
     return this.runsByKey;
   }
@@ -68,9 +68,9 @@
       return;
     }
     const requestId = String(request.headers['x-request-id'] ?? '');
-    const told = fault.type === 'crossing' ? this.lastRequestId : requestId;
+    const answeredId = fault.type === 'crossing' ? this.lastRequestId : requestId;
     this.lastRequestId = requestId;
-    response.setHeader('x-request-id', told);
+    response.setHeader('x-request-id', answeredId);
     sendJson(response, 200, fault.type === 'crossing' ? { done: 'another request' } : done);
   }
 
--- a/standin/store/gatewaymessages.ts
+++ b/standin/store/gatewaymessages.ts
@@ -1,4 +1,4 @@
-/** Requests of the published etcd v3 JSON gateway, as far as the stand-in reads them. */
+/** Request bodies of the etcd v3 JSON gateway, limited to the fields that the stand-in reads. */
 export interface GatewayMessages {
   readonly range: { readonly key: string; readonly range_end?: string };
   readonly txn: {
--- a/standin/store/gatewaystatus.ts
+++ b/standin/store/gatewaystatus.ts
@@ -1,13 +1,13 @@
 import type { StoreFailure } from '../../src/port/index.js';
 
-/** How the gateway words a failure. */
+/** An error answer of the gateway. */
 interface GatewayStatus {
   readonly status: number;
   readonly code: number;
   readonly message: string;
 }
 
-/** The published gateway's answer for each failure; a lost answer has none. */
+/** The gateway's error answer for each failure. `store-outcome-unknown` has none: its answer is lost. */
 export const gatewayStatus: Readonly<Partial<Record<StoreFailure['type'], GatewayStatus>>> = {
   'store-unavailable': { status: 503, code: 14, message: 'etcdserver: no leader' },
   'store-rate-limited': { status: 429, code: 8, message: 'etcdserver: too many requests' },
--- a/standin/store/memorystore.ts
+++ b/standin/store/memorystore.ts
@@ -14,24 +14,24 @@
 
 /** Options of the stand-in store. */
 interface MemoryStoreOptions {
-  /** The running process's clock by default. */
+  /** Default: the system clock. */
   readonly clock?: Clock;
   readonly faults?: StoreFaults;
-  /** Reads and opened watches that the store takes in a second; 2000 by default. */
+  /** Limit of reads and opened watches per second; 2000 by default. */
   readonly readsPerSecond?: number;
-  /** Writes that the store takes in a second; 500 by default. */
+  /** Limit of writes per second; 500 by default. */
   readonly writesPerSecond?: number;
 }
 
 interface Watch {
   readonly prefix: string;
-  readonly tell: (event: WatchEvent) => void;
+  readonly notify: (event: WatchEvent) => void;
 }
 
 const DEFAULT_READS_PER_SECOND = 2000;
 const DEFAULT_WRITES_PER_SECOND = 500;
 
-/** Timers of the running process may fire a little early. */
+/** Timers of Node.js may fire up to 1 ms early. */
 const TIMER_SLACK_MS = 1;
 
 const UNAVAILABLE: StoreFailure = { type: 'store-unavailable', detail: 'The store is down.' };
@@ -40,7 +40,7 @@
 const UNKNOWN: StoreFailure = { type: 'store-outcome-unknown', detail: 'The answer was lost.' };
 const COMPACTED: StoreFailure = { type: 'store-compacted', detail: 'The history is gone.' };
 
-/** The platform's key-value service in one process, with its rates and its faults. */
+/** An in-process stand-in for the platform's key-value store, with rate limits and injected faults. */
 export class MemoryStore implements KeyValueStore {
   readonly model = new StoreModel();
 
@@ -50,7 +50,7 @@
 
   private readonly clock: Clock;
 
-  /** Open watches, each with the revision that it has been told up to. */
+  /** Open watches, each with the last revision that it was notified of. */
   private readonly watches = new Map<Watch, Revision>();
 
   constructor(options: MemoryStoreOptions = {}) {
@@ -80,7 +80,7 @@
     const granted = await this.call('write', () =>
       result.Ok(this.model.grantLease(ttlMs, this.clock.nowMs())),
     );
-    if (granted.ok) this.awaitLapse(ttlMs);
+    if (granted.ok) this.scheduleExpiry(ttlMs);
     return granted;
   }
 
@@ -88,7 +88,7 @@
     return this.call('write', () => {
       if (this.faults.lapsesLease()) this.model.endLease(leaseId);
       const remainingMs = this.model.renewLease(leaseId, this.clock.nowMs());
-      if (remainingMs > 0) this.awaitLapse(remainingMs);
+      if (remainingMs > 0) this.scheduleExpiry(remainingMs);
       return result.Ok(remainingMs);
     });
   }
@@ -100,8 +100,8 @@
     });
   }
 
-  watch(prefix: string, fromRevision: Revision, tell: (event: WatchEvent) => void): () => void {
-    const watch = { prefix, tell };
+  watch(prefix: string, fromRevision: Revision, notify: (event: WatchEvent) => void): () => void {
+    const watch = { prefix, notify };
     const nowMs = this.clock.nowMs();
     const refusal = this.meter.take('read', nowMs) ? undefined : RATE;
     const { type } = this.faults.next('read', nowMs);
@@ -109,20 +109,20 @@
     queueMicrotask(() => {
       if (refusal) this.end(watch, refusal);
       else if (type === 'refused') this.end(watch, UNAVAILABLE);
-      else this.tellNews(watch);
+      else this.notifyWatch(watch);
     });
     return () => this.watches.delete(watch);
   }
 
-  /** Cuts every open watch. */
+  /** Cuts all open watches. */
   cutWatches(): void {
     for (const watch of [...this.watches.keys()]) this.end(watch, CUT);
   }
 
-  /** Lets a lease lapse now, as when its holder was paused for too long. */
+  /** Lets a lease lapse now, as if its holder had been suspended for too long. */
   lapse(leaseId: string): void {
     this.model.endLease(leaseId);
-    this.tellAll();
+    this.notifyAll();
   }
 
   private async call<Answer>(
@@ -131,47 +131,47 @@
   ): Promise<Result<Answer, StoreFailure>> {
     if (!this.meter.take(kind, this.clock.nowMs())) return result.Err(RATE);
     const { type, delayMs } = this.faults.next(kind, this.clock.nowMs());
-    if (delayMs > 0) await this.pause(delayMs);
+    if (delayMs > 0) await this.delay(delayMs);
     if (type === 'refused') return result.Err(UNAVAILABLE);
     if (type === 'request-lost') return result.Err(UNKNOWN);
     if (type === 'late') {
-      this.clock.after(this.faults.lateMs(), () => this.carryOut(kind, effect));
+      this.clock.after(this.faults.lateMs(), () => this.execute(kind, effect));
       return result.Err(UNKNOWN);
     }
-    const answer = this.carryOut(kind, effect);
+    const answer = this.execute(kind, effect);
     return type === 'answer-lost' ? result.Err(UNKNOWN) : answer;
   }
 
-  private carryOut<Answer>(kind: 'read' | 'write', effect: () => Answer): Answer {
+  private execute<Answer>(kind: 'read' | 'write', effect: () => Answer): Answer {
     this.model.expire(this.clock.nowMs());
     const answer = effect();
-    this.tellAll();
+    this.notifyAll();
     if (kind === 'write' && this.faults.compacts()) this.model.compact();
     return answer;
   }
 
-  private pause(delayMs: Ms): Promise<void> {
+  private delay(delayMs: Ms): Promise<void> {
     return new Promise((resolve) => {
       this.clock.after(delayMs, resolve);
     });
   }
 
-  private awaitLapse(ttlMs: Ms): void {
+  private scheduleExpiry(ttlMs: Ms): void {
     this.clock.after(ttlMs + TIMER_SLACK_MS, () => {
       this.model.expire(this.clock.nowMs());
-      this.tellAll();
+      this.notifyAll();
     });
   }
 
-  private tellAll(): void {
-    for (const watch of [...this.watches.keys()]) this.tellNews(watch);
+  private notifyAll(): void {
+    for (const watch of [...this.watches.keys()]) this.notifyWatch(watch);
   }
 
-  private tellNews(watch: Watch): void {
-    const position = this.watches.get(watch);
-    if (position === undefined) return;
+  private notifyWatch(watch: Watch): void {
+    const notifiedRevision = this.watches.get(watch);
+    if (notifiedRevision === undefined) return;
     const { revision: upTo } = this.model;
-    const events = this.model.eventsAfter(watch.prefix, position);
+    const events = this.model.eventsAfter(watch.prefix, notifiedRevision);
     if (!events) {
       this.end(watch, COMPACTED);
       return;
@@ -183,13 +183,13 @@
         return;
       }
       this.watches.set(watch, revision);
-      watch.tell(item ? { type: 'put', item } : { type: 'deleted', key, revision });
+      watch.notify(item ? { type: 'put', item } : { type: 'deleted', key, revision });
     }
     if (this.watches.has(watch)) this.watches.set(watch, upTo);
   }
 
   private end(watch: Watch, failure: StoreFailure): void {
     if (!this.watches.delete(watch)) return;
-    watch.tell({ type: 'ended', failure });
+    watch.notify({ type: 'ended', failure });
   }
 }
--- a/standin/store/storefaults.ts
+++ b/standin/store/storefaults.ts
@@ -2,53 +2,54 @@
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import type { Ms } from '../../src/base/index.js';
 
-/** Faults of the stand-in store. Shares lie between 0 and 1; each is drawn from the seed. */
+/** Faults of the stand-in store. Shares are probabilities from 0 to 1, drawn from the seed. */
 export interface StoreFaults {
   readonly seed?: number;
-  /** Times of the clock in which the store refuses every call, or answers late. */
+  /** Periods in which the store refuses every call (`outage`) or delays it (`slow`). */
   readonly windows?: readonly {
     readonly type: 'outage' | 'slow';
     readonly fromMs: Ms;
     readonly untilMs: Ms;
     readonly delayMs?: Ms;
   }[];
-  /** Every call takes up to so long. */
+  /** Maximum random delay of a call. */
   readonly maxDelayMs?: Ms;
-  /** Reads whose answer is lost. */
+  /** Share of reads whose answer is lost. */
   readonly lostReadShare?: number;
-  /** Writes that take effect and whose answer is lost. */
+  /** Share of writes that take effect although their answer is lost. */
   readonly lostAnswerShare?: number;
-  /** Writes that are lost on their way to the store. */
+  /** Share of writes that are lost on their way to the store. */
   readonly lostRequestShare?: number;
-  /** Writes whose caller gives up on them and that take effect later. */
+  /** Share of writes that take effect only after their caller has given up. */
   readonly lateWriteShare?: number;
+  /** Maximum delay of such a write. */
   readonly lateWriteMs?: Ms;
-  /** Changes that cut the watch which they would have been told to. */
+  /** Share of change notifications that cut their watch instead. */
   readonly watchCutShare?: number;
-  /** Renewals that find the lease lapsed, as after a pause of its holder. */
+  /** Share of renewals that find the lease lapsed, as after a suspension of its holder. */
   readonly leaseLapseShare?: number;
-  /** The history is compacted after so many writes; 0 never. */
+  /** Number of writes after which the history is compacted; 0: never. */
   readonly compactEveryWrites?: number;
 }
 
 const RESOLUTION = 1_000_000;
 
-/** What happens to one call. */
-interface Fate {
+/** The outcome of one call. */
+interface CallOutcome {
   readonly type: 'done' | 'refused' | 'request-lost' | 'answer-lost' | 'late';
   readonly delayMs: Ms;
 }
 
-/** Draws the fate of each call, always the same for a seed and an order of calls. */
+/** Draws the outcome of each call; deterministic for a given seed and sequence of calls. */
 export class FaultSource {
-  /** The store refuses every call while this is set. */
+  /** While true, the store refuses every call. */
   down = false;
 
-  /** The next so many writes take effect and lose their answer. */
-  loseAnswers = 0;
+  /** Number of next writes that take effect although their answer is lost. */
+  answersToLose = 0;
 
-  /** The next so many writes are lost before they take effect. */
-  loseRequests = 0;
+  /** Number of next writes that are lost before they take effect. */
+  requestsToLose = 0;
 
   private readonly generator;
 
@@ -58,7 +59,7 @@
     this.generator = xoroshiro128plus(faults.seed ?? 1);
   }
 
-  next(kind: 'read' | 'write', nowMs: Ms): Fate {
+  next(kind: 'read' | 'write', nowMs: Ms): CallOutcome {
     const { maxDelayMs = 0, windows = [] } = this.faults;
     const drawnMs = maxDelayMs > 0 ? uniformInt(this.generator, 0, maxDelayMs) : 0;
     const open = windows.filter(({ fromMs, untilMs }) => fromMs <= nowMs && nowMs < untilMs);
@@ -67,11 +68,11 @@
     if (this.down || open.some(({ type }) => type === 'outage')) {
       return { type: 'refused', delayMs };
     }
-    if (kind === 'write') return { type: this.writeFate(), delayMs };
+    if (kind === 'write') return { type: this.writeOutcome(), delayMs };
     return { type: this.draw(this.faults.lostReadShare) ? 'refused' : 'done', delayMs };
   }
 
-  /** How much later a late write takes effect. */
+  /** Draws the delay after which a late write takes effect. */
   lateMs(): Ms {
     const { lateWriteMs = 0 } = this.faults;
     return lateWriteMs > 0 ? uniformInt(this.generator, 1, lateWriteMs) : 0;
@@ -85,20 +86,20 @@
     return this.draw(this.faults.leaseLapseShare);
   }
 
-  /** Counts a write; true when the history is to be compacted now. */
+  /** Counts a write; returns true if the history has to be compacted now. */
   compacts(): boolean {
     this.writes += 1;
     const { compactEveryWrites = 0 } = this.faults;
     return compactEveryWrites > 0 && this.writes % compactEveryWrites === 0;
   }
 
-  private writeFate(): Fate['type'] {
-    if (this.loseAnswers > 0) {
-      this.loseAnswers -= 1;
+  private writeOutcome(): CallOutcome['type'] {
+    if (this.answersToLose > 0) {
+      this.answersToLose -= 1;
       return 'answer-lost';
     }
-    if (this.loseRequests > 0) {
-      this.loseRequests -= 1;
+    if (this.requestsToLose > 0) {
+      this.requestsToLose -= 1;
       return 'request-lost';
     }
     if (this.draw(this.faults.lostAnswerShare)) return 'answer-lost';
--- a/standin/store/storemeter.ts
+++ b/standin/store/storemeter.ts
@@ -2,9 +2,9 @@
 
 const SECOND_MS = 1000;
 
-/** Counts every call and refuses those above the store's rate: whole seconds, no burst beyond. */
+/** Counts calls and refuses those above the limit of the current whole second. */
 export class StoreMeter {
-  /** Calls taken since the start. A waiting watch counts as one read. */
+  /** Calls accepted since the start. Opening a watch counts as one read. */
   readonly taken = { read: 0, write: 0 };
 
   /** Calls refused since the start. */
--- a/standin/store/storemodel.ts
+++ b/standin/store/storemodel.ts
@@ -2,10 +2,10 @@
 import { result, type Ms, type Revision } from '../../src/base/index.js';
 import type { KeyValue, StoreFailure, Swap, SwapOutcome } from '../../src/port/index.js';
 
-/** Values up to a megabyte, as the platform's service takes them. */
+/** Largest value that the platform's service accepts: 1 MiB. */
 const VALUE_LIMIT_BYTES = 1_048_576;
 
-/** One change in the store's history. */
+/** A change in the store's history. */
 interface StoreEvent {
   readonly key: string;
   readonly revision: Revision;
@@ -24,14 +24,14 @@
 }
 
 /**
- * The decisions of a key-value store with one order of revisions: compare-and-swap, leases, history and
- * compaction. It has no I/O and no clock: the time is an argument. It changes its own tables, since a
- * copy of them at every write would make long tests quadratic.
+ * The logic of a key-value store with totally ordered revisions: compare-and-swap, leases, history and compaction.
+ * Has no I/O and no clock: times are arguments. Its tables are mutable, because copying them at every write would
+ * make long tests quadratic.
  */
 export class StoreModel {
   revision = 1 as Revision;
 
-  /** History up to and with this revision is gone. */
+  /** History up to and including this revision has been deleted. */
   compactedRevision = 0 as Revision;
 
   private readonly items = new Map<string, KeyValue>();
@@ -74,7 +74,7 @@
     return leaseId;
   }
 
-  /** Remaining life in ms; 0 if the lease is gone. */
+  /** Renews a lease and returns its remaining life in ms; 0 if the lease has ended. */
   renewLease(leaseId: string, nowMs: Ms): Ms {
     const lease = this.leases.get(leaseId);
     if (!lease) return 0;
@@ -82,7 +82,7 @@
     return lease.ttlMs;
   }
 
-  /** Ends a lease and deletes its keys, by revocation or because it lapsed. */
+  /** Ends a lease and deletes its keys, after a revocation or a lapse. */
   endLease(leaseId: string): void {
     const lease = this.leases.get(leaseId);
     if (!lease) return;
@@ -90,14 +90,14 @@
     for (const key of lease.keys) this.remove(key);
   }
 
-  /** Ends the leases that have lapsed by now. */
+  /** Ends all leases that have lapsed by `nowMs`. */
   expire(nowMs: Ms): void {
     for (const [leaseId, lease] of this.leases) {
       if (lease.lapsesAtMs <= nowMs) this.endLease(leaseId);
     }
   }
 
-  /** Changes under a prefix after a revision, or undefined if part of them was compacted. */
+  /** Returns the changes under a prefix after a revision; undefined if some were compacted. */
   eventsAfter(prefix: string, revision: Revision): readonly StoreEvent[] | undefined {
     if (revision < this.compactedRevision) return undefined;
     return this.history.filter(
@@ -105,14 +105,14 @@
     );
   }
 
-  /** Forgets all history so far. */
+  /** Deletes the history so far. */
   compact(): void {
     this.compactedRevision = this.revision;
     this.history = [];
   }
 
   private put(key: string, value: string, leaseId: string | undefined): void {
-    this.release(key);
+    this.detachLease(key);
     this.revision = (this.revision + 1) as Revision;
     const item = { key, value, revision: this.revision };
     this.items.set(key, item);
@@ -123,14 +123,14 @@
   }
 
   private remove(key: string): void {
-    this.release(key);
+    this.detachLease(key);
     if (!this.items.delete(key)) return;
     this.revision = (this.revision + 1) as Revision;
     this.history.push({ key, revision: this.revision });
   }
 
-  /** Takes the key from the lease that held it: the last write alone decides. */
-  private release(key: string): void {
+  /** Detaches the key from its lease: only the last write decides which lease a key belongs to. */
+  private detachLease(key: string): void {
     for (const [leaseId, lease] of this.leases) {
       if (!lease.keys.has(key)) continue;
       const keys = new Set(lease.keys);
--- a/standin/store/storeserver.ts
+++ b/standin/store/storeserver.ts
@@ -34,7 +34,7 @@
   return { header: {}, succeeded: false, responses: [{ response_range: { kvs } }] };
 }
 
-/** Speaks the subset of the etcd v3 JSON gateway that the driver uses, over a stand-in store. */
+/** Serves a stand-in store over the subset of the etcd v3 JSON gateway that the driver uses. */
 export class StoreServer {
   private readonly server: Server;
 
@@ -52,7 +52,7 @@
     });
   }
 
-  /** Listens on the loopback, by default on a free port, and gives the URL. */
+  /** Listens on the loopback, by default on a free port, and returns the URL. */
   listen(port = 0): Promise<string> {
     return new Promise((resolve) => {
       this.server.listen(port, '127.0.0.1', () => {
@@ -62,7 +62,7 @@
     });
   }
 
-  /** Stops at once, as in a crash: open calls and watches are cut. */
+  /** Stops at once, as in a crash; cuts open calls and watches. */
   close(): Promise<void> {
     return new Promise((resolve) => {
       this.server.close(() => resolve());
@@ -86,14 +86,14 @@
     else this.fail(answer.val, response);
   }
 
-  /** A lost answer is a connection that ends without one. */
+  /** Sends an error answer, or closes the connection if the failure is a lost answer. */
   private fail({ type }: StoreFailure, response: ServerResponse): void {
-    const wording = gatewayStatus[type];
-    if (!wording) {
+    const error = gatewayStatus[type];
+    if (!error) {
       response.destroy();
       return;
     }
-    const { status, code, message } = wording;
+    const { status, code, message } = error;
     response.writeHead(status).end(JSON.stringify({ error: message, code, message }));
   }
 
@@ -115,7 +115,10 @@
     const [operation] = body.success;
     const put = operation?.request_put;
     if (!compare || (!put && !operation?.request_delete_range)) {
-      return result.Err({ type: 'store-refused', detail: 'Outside the subset.' });
+      return result.Err({
+        type: 'store-refused',
+        detail: 'The transaction is outside the supported subset.',
+      });
     }
     const swapped = await this.store.swap({
       key: decode(compare.key),
--- a/standin/weights/addload.ts
+++ b/standin/weights/addload.ts
@@ -3,7 +3,7 @@
 
 const MS_PER_SECOND = 1000;
 
-/** Takes one more load; it begins when the rate allows. */
+/** Adds a load, which starts as soon as the rate limit allows. */
 export function addLoad(
   state: WeightState,
   sizeBytes: number,
--- a/standin/weights/advance.ts
+++ b/standin/weights/advance.ts
@@ -7,7 +7,7 @@
   return options.bytesPerMs * Math.min(1, options.parallelLoads / Math.max(1, running));
 }
 
-/** When something next changes: a load begins or is done. Undefined while there is none. */
+/** Returns when the next load starts or completes; undefined if there are no loads. */
 function nextChangeAtMs(state: WeightState, options: WeightOptions): number | undefined {
   const running = state.loads.filter(({ startsAtMs }) => startsAtMs <= state.atMs);
   const bytesPerMs = speed(running.length, options);
@@ -17,7 +17,7 @@
   return times.length > 0 ? Math.min(...times) : undefined;
 }
 
-function moveTo(state: WeightState, atMs: number, options: WeightOptions): WeightState {
+function advanceTo(state: WeightState, atMs: number, options: WeightOptions): WeightState {
   const running = state.loads.filter(({ startsAtMs }) => startsAtMs <= state.atMs);
   const movedBytes = (atMs - state.atMs) * speed(running.length, options);
   const loads = state.loads.map((load) =>
@@ -28,7 +28,7 @@
   return { ...state, atMs, loads };
 }
 
-/** Moves the weight store to a time; gives the loads that are done and when to look again. */
+/** Advances the weight store to a time. Returns the completed loads and when to call this again. */
 export function advance(
   start: WeightState,
   nowMs: number,
@@ -44,9 +44,9 @@
     const nextMs = nextChangeAtMs(state, options);
     if (nextMs === undefined) return { state: { ...state, atMs: nowMs }, doneIds };
     if (nextMs > nowMs) {
-      return { state: moveTo(state, nowMs, options), doneIds, wakeAtMs: nextMs };
+      return { state: advanceTo(state, nowMs, options), doneIds, wakeAtMs: nextMs };
     }
-    state = moveTo(state, nextMs, options);
+    state = advanceTo(state, nextMs, options);
     const done = state.loads.filter(({ remainingBytes }) => remainingBytes < DONE_BYTES);
     doneIds.push(...done.map(({ id }) => id));
     state = { ...state, loads: state.loads.filter((load) => !done.includes(load)) };
--- a/standin/weights/fakeweightstore.ts
+++ b/standin/weights/fakeweightstore.ts
@@ -11,10 +11,10 @@
   speed: 1,
 };
 
-/** The platform's store of weights, shared by the stand-in engines of one deployment. */
+/** A stand-in for the platform's weight store, shared by the stand-in engines of a deployment. */
 export class FakeWeightStore implements WeightStore {
-  /** Loads that began, all told. */
-  begun = 0;
+  /** Total number of loads requested. */
+  loadCount = 0;
 
   private readonly options: typeof DEFAULTS;
 
@@ -26,7 +26,7 @@
 
   private timer: NodeJS.Timeout | undefined;
 
-  /** `speed` makes the store's own time run faster than real time. */
+  /** `speed` is the speed of the store's time relative to real time. */
   constructor(options: Partial<typeof DEFAULTS> = {}) {
     this.options = { ...DEFAULTS, ...options };
   }
@@ -43,10 +43,10 @@
     return sizeBytes / this.options.bytesPerMs;
   }
 
-  /** Resolves when the weights are there. */
+  /** Resolves when the weights have been loaded. */
   load(sizeBytes: number): Promise<void> {
     this.advance();
-    this.begun += 1;
+    this.loadCount += 1;
     const id = this.state.nextId;
     this.state = addLoad(this.state, sizeBytes, this.options);
     return new Promise((resolve) => {
--- a/standin/weights/weightload.ts
+++ b/standin/weights/weightload.ts
@@ -1,4 +1,4 @@
-/** One load that the weight store serves, or has in its queue. */
+/** A load that is running or queued at the weight store. */
 export interface WeightLoad {
   readonly id: number;
   readonly startsAtMs: number;
--- a/standin/weights/weightoptions.ts
+++ b/standin/weights/weightoptions.ts
@@ -1,9 +1,9 @@
-/** The weight store's limits. */
+/** Limits of the weight store. */
 export interface WeightOptions {
-  /** Loads that may begin in a second. */
+  /** Loads that may start per second. */
   readonly loadsPerSecond: number;
-  /** Loads that run at full speed side by side; more share the same total. */
+  /** Loads that run at full speed in parallel; more loads share the same total speed. */
   readonly parallelLoads: number;
-  /** Speed of one load that is not crowded. */
+  /** Speed of a load while no more than `parallelLoads` run. */
   readonly bytesPerMs: number;
 }
--- a/standin/weights/weightstate.ts
+++ b/standin/weights/weightstate.ts
@@ -1,10 +1,10 @@
 import type { WeightLoad } from './weightload.js';
 
-/** What the weight store serves at a moment. */
+/** State of the weight store at a point in time. */
 export interface WeightState {
   readonly atMs: number;
   readonly nextId: number;
-  /** When the latest load was let begin. */
+  /** Start time of the latest load, which may be in the future. */
   readonly lastStartAtMs: number;
   readonly loads: readonly WeightLoad[];
 }
--- a/test/afterreads.test.ts
+++ b/test/afterreads.test.ts
@@ -3,7 +3,7 @@
 import { once } from 'node:events';
 import { systemClock } from '../src/base/index.js';
 import { afterReads } from '../src/shell/loop/index.js';
-import { standstill } from './support/standstill.js';
+import { stallEventLoop } from './support/stalleventloop.js';
 
 const STALL_MS = 400;
 
@@ -24,7 +24,7 @@
     const [near, far] = await pair(server);
     await new Promise(setImmediate);
     near.destroy();
-    standstill(STALL_MS);
+    stallEventLoop(STALL_MS);
     await new Promise<void>((resolve) => {
       afterReads(systemClock, resolve);
     });
@@ -42,7 +42,7 @@
     const [caller, called] = await pair(server);
     // Runs in the iteration that afterReads waits for; the other connection closes while this handler blocks.
     called.once('data', () => {
-      standstill(STALL_MS);
+      stallEventLoop(STALL_MS);
       near.destroy();
     });
     const done = new Promise<void>((resolve) => {
--- a/test/callerleaves.test.ts
+++ b/test/callerleaves.test.ts
@@ -1,9 +1,9 @@
 import test, { type ExecutionContext } from 'ava';
 import { connect, type Socket } from 'node:net';
 import { PlatformServer } from '../standin/platform/index.js';
-import { askEntry } from './support/askentry.js';
+import { callEntry } from './support/callentry.js';
 import { PlatformRig } from './support/platformrig.js';
-import { standstill } from './support/standstill.js';
+import { stallEventLoop } from './support/stalleventloop.js';
 
 /** The backoff that an upstream asks for, and how long the event loop then stalls. */
 const PAUSE_S = 1.5;
@@ -37,17 +37,17 @@
 
 async function startWaiting(t: ExecutionContext, deadlineMs: number): Promise<Waiting> {
   const server = new PlatformServer('p1', 'plain');
-  server.manners.push('slow', 'slow', 'pause');
-  server.pauseText = String(PAUSE_S);
+  server.behaviors.push('slow', 'slow', 'pause');
+  server.retryAfterText = String(PAUSE_S);
   const rig = new PlatformRig();
   rig.targetLatencyMs = TARGET_MS;
   await rig.start([server]);
   // Two at a time, so that one connection stays open when the refused request has closed the other.
-  const before = ['/lookup/0', '/lookup/0'].map((path) => askEntry(rig.port, { path }));
+  const before = ['/lookup/0', '/lookup/0'].map((path) => callEntry(rig.port, { path }));
   for (const { status } of await Promise.all(before)) t.is(status, 200);
-  server.seen.length = 0;
+  server.requestLog.length = 0;
   write(rig.port, 'r0', FIRST_DEADLINE_MS);
-  await rig.until(() => rig.said('upstream pause') !== undefined);
+  await rig.until(() => rig.findLine('upstream pause') !== undefined);
   const socket = write(rig.port, 'r1', deadlineMs);
   const answered = new Promise<string>((resolve) => {
     socket.once('data', (chunk) => resolve(chunk.toString()));
@@ -58,10 +58,10 @@
 
 /** Checks that the upstream's next request is a new one: a request sent by mistake would arrive before it. */
 async function expectNextRun(t: ExecutionContext, { rig, server }: Waiting): Promise<void> {
-  const { status } = await askEntry(rig.port, { path: '/lookup/2' });
+  const { status } = await callEntry(rig.port, { path: '/lookup/2' });
   t.is(status, 200);
   t.deepEqual(
-    server.seen.map(({ path }) => path),
+    server.requestLog.map(({ path }) => path),
     ['/lookup/2'],
   );
   rig.close();
@@ -75,7 +75,7 @@
     await afterSockets();
     waiting.socket.destroy();
     // Afterwards the close is still unread, and the backoff is over.
-    standstill(STANDSTILL_MS);
+    stallEventLoop(STANDSTILL_MS);
     await expectNextRun(t, waiting);
   },
 );
@@ -86,7 +86,7 @@
   async (t) => {
     const waiting = await startWaiting(t, 1800);
     await afterSockets();
-    standstill(STANDSTILL_MS);
+    stallEventLoop(STANDSTILL_MS);
     t.regex(await waiting.answered, /^HTTP\/1\.1 503 /);
     await expectNextRun(t, waiting);
   },
--- a/test/command.test.ts
+++ b/test/command.test.ts
@@ -144,7 +144,7 @@
     bodyBytes: 100_000,
   });
   const where = ['--store', url, '--entry', `http://127.0.0.1:${entry.port}`];
-  store.faults.loseAnswers = 1;
+  store.faults.answersToLose = 1;
   const applied = await run('apply', PADRON, '--expect', '0', '--wait', ...where);
   t.is(applied.exitCode, 0, applied.errors);
   t.regex(
--- a/test/enginecore.test.ts
+++ b/test/enginecore.test.ts
@@ -11,11 +11,11 @@
 const options = { ...engineDefaults, maxRunning: 1 };
 
 function ask(key: number, priority: number, prompt: string) {
-  const told = { key, requestId: `r${key}`, priority };
-  return { type: 'ask' as const, request: requestOf({ model: 'm', prompt }, 2, told) };
+  const identity = { key, requestId: `r${key}`, priority };
+  return { type: 'ask' as const, request: requestOf({ model: 'm', prompt }, 2, identity) };
 }
 
-test('a step takes as long as the curve says, with the prefill of uncached prompt tokens', (t) => {
+test('the duration of a step follows the curve and includes the prefill of uncached prompt tokens', (t) => {
   const prompt = 'x'.repeat(128);
   const cold = stepEngine(emptyEngine, ask(1, 0, prompt), 0, options);
   t.is(cold.state.stepEndsAtMs, stepMs(defaultCurve, 1) + 32 * defaultCurve.prefillTokenMs);
@@ -24,7 +24,7 @@
   t.is(warm.state.stepEndsAtMs, 1000 + stepMs(defaultCurve, 1));
 });
 
-test('the request with the higher priority goes first', (t) => {
+test('the request with the highest priority enters the batch first', (t) => {
   let { state } = stepEngine(emptyEngine, ask(1, 0, 'a'), 0, options);
   state = stepEngine(state, ask(2, 0, 'b'), 1, options).state;
   state = stepEngine(state, ask(3, 9, 'c'), 2, options).state;
@@ -33,7 +33,7 @@
   t.deepEqual(began, ['r3', 'r2']);
 });
 
-test('the prefix cache drops the block that was used longest ago', (t) => {
+test('the prefix cache evicts the least recently used block', (t) => {
   const empty = emptyEngine.cache;
   const filled = useCache(empty, [1, 2], 2);
   const { hits, cache } = useCache(useCache(filled.cache, [1], 2).cache, [3], 2);
@@ -45,7 +45,7 @@
   );
 });
 
-test('loads beyond the parallel limit share the speed, and begin no faster than the rate', (t) => {
+test('loads beyond the parallel limit share the total speed, and their starts respect the rate limit', (t) => {
   const limits = { loadsPerSecond: 1000, parallelLoads: 1, bytesPerMs: 10 };
   let state = { atMs: 0, nextId: 1, lastStartAtMs: -Infinity, loads: [] };
   state = addLoad(addLoad(state, 100, limits), 100, limits) as typeof state;
--- a/test/fakeengine.test.ts
+++ b/test/fakeengine.test.ts
@@ -63,54 +63,54 @@
   fake.close();
 }
 
-const forever = new AbortController().signal;
+const neverAborted = new AbortController().signal;
 
-test('a cut answer is resumed at the same engine and is whole', async (t) => {
+test('a cut answer is resumed at the same engine and is complete', async (t) => {
   const faults = fixedFaults([{ type: 'cut', afterTokens: 4 }]);
   const fake = new FakeEngine({ tokenMs: 1, faults });
   await withEngine(fake, async (engine) => {
-    const cut = await read((await engine.generate(chat('r1', 'hello'), forever)).unwrap());
+    const cut = await read((await engine.generate(chat('r1', 'hello'), neverAborted)).unwrap());
     t.is(cut.failure, 'upstream-cut');
-    const again = await engine.resume(chat('r1', 'hello'), cut.lastId, forever);
+    const again = await engine.resume(chat('r1', 'hello'), cut.lastId, neverAborted);
     const rest = await read(again.unwrap());
     t.is(cut.text + rest.text, expectedAnswer('hello', TOKENS));
     t.is(fake.runs('r1'), 1);
   });
 });
 
-test('an answer goes on from its text at another engine, byte for byte', async (t) => {
-  const begun = expectedAnswer('hello', 7);
+test('an answer that is continued from its text at another engine has the same bytes', async (t) => {
+  const partial = expectedAnswer('hello', 7);
   const messages = [
     { role: 'user', content: 'hello' },
-    { role: 'assistant', content: begun },
+    { role: 'assistant', content: partial },
   ];
   await withEngine(new FakeEngine({ tokenMs: 1 }), async (engine) => {
-    const going = chat('r1', '', { messages, continue_final_message: true });
-    const rest = await read((await engine.generate(going, forever)).unwrap());
-    t.is(begun + rest.text, expectedAnswer('hello', TOKENS));
+    const continued = chat('r1', '', { messages, continue_final_message: true });
+    const rest = await read((await engine.generate(continued, neverAborted)).unwrap());
+    t.is(partial + rest.text, expectedAnswer('hello', TOKENS));
   });
 });
 
-test('a KV cache moves an answer to another engine', async (t) => {
+test('an answer is resumed at another engine that imported its KV cache', async (t) => {
   const from = new FakeEngine({ faults: fixedFaults([{ type: 'cut', afterTokens: 4 }]) });
   const to = new FakeEngine();
   await withEngine(from, (left) =>
-    withEngine(to, async (right) => {
-      const cut = await read((await left.generate(chat('r1', 'hello'), forever)).unwrap());
+    withEngine(to, async (target) => {
+      const cut = await read((await left.generate(chat('r1', 'hello'), neverAborted)).unwrap());
       const cache = (await left.exportCache('r1' as RequestId, Infinity)).unwrap();
-      t.true((await right.importCache('r1' as RequestId, cache)).ok);
-      const again = await right.resume(chat('r1', 'hello'), cut.lastId, forever);
+      t.true((await target.importCache('r1' as RequestId, cache)).ok);
+      const again = await target.resume(chat('r1', 'hello'), cut.lastId, neverAborted);
       t.is(cut.text + (await read(again.unwrap())).text, expectedAnswer('hello', TOKENS));
       t.is(to.runs('r1'), 0);
     }),
   );
 });
 
-test('a model that is not loaded is not served, and is after its order', async (t) => {
+test('a model is refused until an order has loaded it', async (t) => {
   const weightStore = new FakeWeightStore({ loadsPerSecond: 1000, speed: 100 });
   const fake = new FakeEngine({ memoryBytes: 10 * GIB, weightStore, speed: 20 });
   await withEngine(fake, async (engine) => {
-    const unserved = await engine.generate(chat('r1', 'a'), forever);
+    const unserved = await engine.generate(chat('r1', 'a'), neverAborted);
     t.like(unserved.val, { type: 'upstream-refused', executed: 'no' });
     t.true((await engine.order(order('o1', { sizeBytes: GIB }))).ok);
     t.true((await engine.order(order('o1', { sizeBytes: GIB }))).ok);
@@ -119,14 +119,14 @@
     t.deepEqual(report.residents, [
       { model: 'm' as ModelId, version: '1', sizeBytes: GIB, phase: 'ready', adapters: [] },
     ]);
-    const answer = await read((await engine.generate(chat('r2', 'a'), forever)).unwrap());
+    const answer = await read((await engine.generate(chat('r2', 'a'), neverAborted)).unwrap());
     t.is(answer.text, expectedAnswer('a', TOKENS));
     t.is(fake.counts.loads, 1);
   });
   weightStore.close();
 });
 
-test('an engine that checks refuses an old fencing token; one that does not takes it', async (t) => {
+test('an old fencing token is refused if the engine checks it and accepted otherwise', async (t) => {
   for (const checksFencing of [true, false]) {
     const fake = new FakeEngine({ memoryBytes: GIB, checksFencing });
     await withEngine(fake, async (engine) => {
@@ -139,7 +139,7 @@
   }
 });
 
-test('overcommitted memory takes the engine down and is counted', async (t) => {
+test('overcommitted memory crashes the engine and is counted', async (t) => {
   const residents = [{ model: 'm', sizeBytes: 3 * GIB }];
   const fake = new FakeEngine({ memoryBytes: 4 * GIB, residents });
   await withEngine(fake, async (engine) => {
@@ -152,7 +152,7 @@
   });
 });
 
-test('a caller that leaves frees its place; a cancelled answer cannot be resumed', async (t) => {
+test('a disconnected caller frees its slot, and a cancelled answer cannot be resumed', async (t) => {
   const fake = new FakeEngine({ tokenMs: 1, tokens: 100_000 });
   await withEngine(fake, async (engine) => {
     const gone = new AbortController();
@@ -164,15 +164,15 @@
     let report = (await engine.report()).unwrap();
     while (report.running > 0) report = (await engine.report()).unwrap();
     await engine.cancel('r1' as RequestId);
-    const resumed = await engine.resume(chat('r1', 'a'), '0', forever);
+    const resumed = await engine.resume(chat('r1', 'a'), '0', neverAborted);
     t.is(resumed.err && resumed.val.type, 'upstream-refused');
   });
 });
 
-test('a crossed answer, which carries the id of another request, is refused', async (t) => {
+test('an answer that carries the id of another request is refused', async (t) => {
   const fake = new FakeEngine({ tokenMs: 1, faults: fixedFaults([{ type: 'crossing' }]) });
   await withEngine(fake, async (engine) => {
-    const crossed = await engine.generate(chat('r1', 'a'), forever);
+    const crossed = await engine.generate(chat('r1', 'a'), neverAborted);
     t.is(crossed.err && crossed.val.type, 'upstream-wrong-answer');
   });
 });
--- a/test/fakeservice.test.ts
+++ b/test/fakeservice.test.ts
@@ -10,21 +10,21 @@
   return { requestId, method: 'POST', path: '/transfers', headers: [], body };
 }
 
-const forever = new AbortController().signal;
+const neverAborted = new AbortController().signal;
 
-test('a confirmation is counted also when its answer is lost, and not when it never arrived', async (t) => {
+test('an operation is counted if its answer is lost, but not if the request is lost', async (t) => {
   const faults = fixedFaults([{ type: 'none' }, { type: 'cut', afterTokens: 0 }, { type: 'loss' }]);
   const fake = new FakeService({ serviceMs: 0, faults });
   const service = new HttpService(await fake.listen(), 4);
-  t.is((await service.call(confirm('t1'), forever)).unwrap().status, 200);
-  t.true((await service.call(confirm('t2'), forever)).err);
-  t.true((await service.call(confirm('t3'), forever)).err);
+  t.is((await service.call(confirm('t1'), neverAborted)).unwrap().status, 200);
+  t.true((await service.call(confirm('t2'), neverAborted)).err);
+  t.true((await service.call(confirm('t3'), neverAborted)).err);
   t.deepEqual(Object.fromEntries(fake.allRuns()), { t1: 1, t2: 1 });
   await service.close();
   fake.close();
 });
 
-test('the host list tells what was true a while ago', async (t) => {
+test('the host list returns its content with the configured delay', async (t) => {
   const host = {
     id: 'h1',
     role: 'sidecar' as const,
@@ -33,17 +33,17 @@
     region: 'cantabrico',
     state: 'live' as const,
   };
-  const now = new FakeHostList();
+  const current = new FakeHostList();
   const late = new FakeHostList(60_000);
-  const url = await now.listen();
-  now.set([host]);
+  const url = await current.listen();
+  current.set([host]);
   late.set([host]);
   t.deepEqual(await (await request(url)).body.json(), [host]);
-  t.deepEqual(late.told(), []);
-  now.close();
+  t.deepEqual(late.visibleHosts(), []);
+  current.close();
 });
 
-test('a seed always gives the same faults', (t) => {
+test('the same seed gives the same faults', (t) => {
   const shares = { delay: 0.2, loss: 0.2, crossing: 0.2, cut: 0.2 };
   const [first, second] = [seededFaults(7, shares), seededFaults(7, shares)];
   const drawn = Array.from({ length: 100 }, () => first.next());
--- a/test/front.test.ts
+++ b/test/httpcallerserver.test.ts
@@ -9,31 +9,31 @@
 import { systemClock, VirtualClock, type Clock } from '../src/base/index.js';
 import { stopPhase, acceptRequestsMs } from '../src/core/plannedstop/index.js';
 import type { Caller } from '../src/direct/index.js';
-import { Front } from '../platform/front.js';
-import { askRaw } from './support/askraw.js';
+import { HttpCallerServer } from '../platform/httpcallerserver.js';
+import { sendRaw } from './support/sendraw.js';
 
 const LOG = { info() {}, warn() {}, error() {} };
 const REQUEST =
   'POST /a/1 HTTP/1.1\r\nHost: h\r\nTarragonstile-Request-Id: 1\r\nContent-Length: 2\r\n';
-/** Writes a request, closes the connection, and only then makes the file that it is told of. */
-const CALLER_THAT_LEAVES = `
+/** Sends a request, closes the connection and then creates the marker file named in its arguments. */
+const DISCONNECTING_CALLER = `
 const { connect } = require('node:net');
 const { writeFileSync } = require('node:fs');
-const [port, text, mark] = process.argv.slice(1);
+const [port, text, marker] = process.argv.slice(1);
 const socket = connect(Number(port), '127.0.0.1', () => socket.end(text, () => {
-  writeFileSync(mark, '');
+  writeFileSync(marker, '');
   socket.destroy();
 }));
 socket.on('error', () => undefined);`;
 
-interface Door {
-  readonly front: Front;
+interface TestServer {
+  readonly server: HttpCallerServer;
   readonly port: number;
   readonly accepted: Caller[];
 }
 
-/** A front whose entry answers each request that it accepts. */
-async function open(clock: Clock): Promise<Door> {
+/** Starts a server whose entry answers each request that it accepts. */
+async function open(clock: Clock): Promise<TestServer> {
   const accepted: Caller[] = [];
   const entry = {
     limits: undefined,
@@ -43,14 +43,14 @@
       caller.end();
     },
   };
-  const front = new Front(entry as never, clock, LOG);
-  return { front, port: await front.listen('127.0.0.1', 0), accepted };
+  const server = new HttpCallerServer(entry as never, clock, LOG);
+  return { server, port: await server.listen('127.0.0.1', 0), accepted };
 }
 
-test('requests around the end of the time in which work is taken are answered or refused at once', async (t) => {
+test('a request is answered before the accept deadline of a stop and refused at once after it', async (t) => {
   const graceMs = 8000;
   const lastMs = acceptRequestsMs(graceMs);
-  // From here on nothing but a refusal may come of a request, whatever phase was last looked at.
+  // From here on every request has to be refused, whichever phase was computed last.
   t.is(stopPhase(lastMs, graceMs), 'listening');
   for (const [atMs, status] of [
     [0, 200],
@@ -62,20 +62,20 @@
     [3050, 503],
   ] as const) {
     const clock = new VirtualClock();
-    const { front, port, accepted } = await open(clock);
-    front.leave(lastMs);
+    const { server, port, accepted } = await open(clock);
+    server.leave(lastMs);
     clock.advanceTo(atMs);
-    const answer = await askRaw(port, `${REQUEST}\r\nxy`);
+    const answer = await sendRaw(port, `${REQUEST}\r\nxy`);
     t.is(answer.status, status, `at ${atMs} ms`);
     t.is(accepted.length, status === 200 ? 1 : 0, `at ${atMs} ms`);
-    front.close();
+    server.close();
   }
 });
 
-test('a request whose body ends after the time in which work is taken is refused', async (t) => {
+test('a request whose body is complete only after the accept deadline of a stop is refused', async (t) => {
   const clock = new VirtualClock();
-  const { front, port, accepted } = await open(clock);
-  front.leave(100);
+  const { server, port, accepted } = await open(clock);
+  server.leave(100);
   let text = '';
   await new Promise<void>((resolve) => {
     const socket = connect(port, '127.0.0.1', () => {
@@ -83,7 +83,7 @@
     });
     socket.on('data', (chunk) => {
       if (text === '') {
-        // The head has been read in time.
+        // The head was read before the deadline.
         clock.advanceTo(100);
         socket.write('xy');
       }
@@ -93,26 +93,26 @@
   });
   t.regex(text, /HTTP\/1\.1 503/);
   t.is(accepted.length, 0);
-  front.close();
+  server.close();
 });
 
-test('a request whose caller left while the process stood still is not accepted', async (t) => {
+test('a request whose caller disconnected while the event loop was stalled is not accepted', async (t) => {
   const folder = mkdtempSync(join(tmpdir(), 'front-'));
-  const mark = join(folder, 'left');
-  const { front, port, accepted } = await open(systemClock);
-  const args = ['-e', CALLER_THAT_LEAVES, String(port), `${REQUEST}\r\nxy`, mark];
+  const marker = join(folder, 'left');
+  const { server, port, accepted } = await open(systemClock);
+  const args = ['-e', DISCONNECTING_CALLER, String(port), `${REQUEST}\r\nxy`, marker];
   const caller = promisify(execFile)(process.execPath, args);
-  // Nothing is read here until the caller has left.
-  while (!existsSync(mark));
+  // Stalls the event loop until the caller has disconnected.
+  while (!existsSync(marker));
   await caller;
-  const present = await askRaw(port, `${REQUEST}Connection: close\r\n\r\nxy`);
-  t.is(present.status, 200);
+  const later = await sendRaw(port, `${REQUEST}Connection: close\r\n\r\nxy`);
+  t.is(later.status, 200);
   t.is(accepted.length, 1);
-  front.close();
+  server.close();
   rmSync(folder, { recursive: true });
 });
 
-/** Opens a connection; an answer's status, or the error that ended it without one. */
+/** Resolves with the status of the answer, or with the error that closed the connection without one. */
 function ending(socket: Socket): Promise<string> {
   return new Promise((resolve) => {
     let text = '';
@@ -126,41 +126,42 @@
 
 const WHOLE_REQUEST = `${REQUEST}\r\nxy`;
 
-// Guards against stops that reset requests: they get "not run" or are never taken, not silence.
-test('a connection that is open but not accepted when a stop shuts the listener gets an answer', async (t) => {
-  const { front, port } = await open(systemClock);
+// A stop that closes the listener too early makes the kernel reset requests that were not read yet. Their callers
+// get no answer and cannot tell whether the request ran; they have to get a refusal instead.
+test('a connection that waits to be accepted when a stop closes the listener gets an answer', async (t) => {
+  const { server, port } = await open(systemClock);
   const socket = connect(port, '127.0.0.1');
   const ended = ending(socket);
   socket.write(WHOLE_REQUEST);
-  // The kernel completes the connection as soon as it is asked for; accepting it takes a turn of the event loop.
+  // The kernel establishes the connection at once; accepting it takes a turn of the event loop.
   await new Promise<void>((resolve) => {
     process.nextTick(resolve);
   });
-  front.shut();
+  server.shut();
   t.is(await ended, '503');
-  front.close();
+  server.close();
 });
 
-test('a request that waits unread on a new connection when a stop shuts the listener gets an answer', async (t) => {
-  const { front, port } = await open(systemClock);
+test('an unread request on a new connection gets an answer when a stop closes the listener', async (t) => {
+  const { server, port } = await open(systemClock);
   const socket = connect(port, '127.0.0.1');
   const ended = ending(socket);
   await once(socket, 'connect');
   await new Promise(setImmediate);
   socket.write(WHOLE_REQUEST);
-  front.shut();
+  server.shut();
   t.is(await ended, '503');
-  front.close();
+  server.close();
 });
 
-test('a request that waits unread on a kept connection when a stop shuts the listener gets an answer', async (t) => {
-  const { front, port } = await open(systemClock);
+test('an unread request on a keep-alive connection gets an answer when a stop closes the listener', async (t) => {
+  const { server, port } = await open(systemClock);
   const socket = connect(port, '127.0.0.1');
   socket.write(WHOLE_REQUEST);
   await once(socket, 'data');
   const ended = ending(socket);
   socket.write(WHOLE_REQUEST);
-  front.shut();
+  server.shut();
   t.is(await ended, '503');
-  front.close();
+  server.close();
 });
--- a/test/inforce.test.ts
+++ b/test/inforce.test.ts
@@ -5,12 +5,12 @@
 import { writeDocument } from './support/meshnode.js';
 import { serviceDocument } from './support/servicedocument.js';
 
-const PLACE = { region: 'cantabrico', availabilityZone: 'oviedo-a', logLevel: 'error' };
-const REST = { drainTimeoutMs: 2000, statsd: null, slots: 4 };
+const LOCATION = { region: 'cantabrico', availabilityZone: 'oviedo-a', logLevel: 'error' };
+const COMMON = { drainTimeoutMs: 2000, statsd: null, slots: 4 };
 const POLL_MS = 10;
 const TOKENS = 400;
-/** Nobody listens here. */
-const NOBODY = 'http://127.0.0.1:1';
+/** A URL on which no process listens. */
+const UNREACHABLE_URL = 'http://127.0.0.1:1';
 
 function generate(url: string, key: string, model: string) {
   return request(`${url}/v1/completions`, {
@@ -35,11 +35,11 @@
   }
 }
 
-async function whole(answer: Awaited<ReturnType<typeof generate>>): Promise<boolean> {
+async function isComplete(answer: Awaited<ReturnType<typeof generate>>): Promise<boolean> {
   return (await answer.body.text()).endsWith('data: [DONE]\n\n');
 }
 
-test('a changed document takes effect without a restart and without cutting a request', async (t) => {
+test('a changed service document takes effect without a restart and without cutting requests', async (t) => {
   const memory = new MemoryStore();
   const storeServer = new StoreServer(memory);
   const hostList = new FakeHostList();
@@ -51,7 +51,7 @@
     timeoutMs: 2000,
   };
   const list = { url: await hostList.listen(), pollMs: 100, timeoutMs: 1000 };
-  const common = { ...PLACE, ...REST, store, hostList: list };
+  const common = { ...LOCATION, ...COMMON, store, hostList: list };
   const sidecars = await Promise.all(
     engines.map(async (engine, index) =>
       startSidecar({
@@ -96,8 +96,8 @@
   t.is((await generate(url, 'old-key', 'notice-1')).statusCode, 401);
   const added = await generate(url, 'new-key', 'notice-2');
   t.is(added.statusCode, 200);
-  t.true(await whole(added));
-  t.true(await whole(running));
+  t.true(await isComplete(added));
+  t.true(await isComplete(running));
 
   await entry.stop();
   await Promise.all(sidecars.map((sidecar) => sidecar.stop()));
@@ -106,14 +106,14 @@
   await storeServer.close();
 });
 
-test('an entry that has not caught up says so, and runs nothing', async (t) => {
+test('an entry that has not read its configuration yet refuses requests and is not ready', async (t) => {
   const entry = await startEntry({
-    ...PLACE,
+    ...LOCATION,
     drainTimeoutMs: 1000,
     hostId: 'entry-1',
     listen: { host: '127.0.0.1', port: 0 },
     bodyBytes: 100_000,
-    store: { urls: [NOBODY], readsPerSecond: 20, writesPerSecond: 10, timeoutMs: 100 },
+    store: { urls: [UNREACHABLE_URL], readsPerSecond: 20, writesPerSecond: 10, timeoutMs: 100 },
   });
   const url = `http://127.0.0.1:${entry.port}`;
   const answer = await generate(url, 'any-key', 'notice-1');
--- a/test/latesend.test.ts
+++ b/test/latesend.test.ts
@@ -7,11 +7,11 @@
 import type { OrderLeaseKeeper } from '../src/direct/orders/orderleasekeeper.js';
 import type { UpstreamLink } from '../src/port/index.js';
 import { callOnce, Channel } from '../src/shell/http1/index.js';
-import { Upstreams } from '../platform/upstreams.js';
+import { HttpUpstreamLink } from '../platform/httpupstreamlink.js';
 import { PlatformServer } from '../standin/platform/index.js';
-import { askEntry } from './support/askentry.js';
+import { callEntry } from './support/callentry.js';
 import { PlatformRig } from './support/platformrig.js';
-import { standstill } from './support/standstill.js';
+import { stallEventLoop } from './support/stalleventloop.js';
 
 const LOG = { info() {}, warn() {}, error() {} };
 const METRICS = { count() {}, gauge() {}, histogram() {} };
@@ -51,7 +51,7 @@
   async (t) => {
     const server = new PlatformServer('e1', 'engine');
     await server.listen();
-    const link = new Upstreams(systemClock);
+    const link = new HttpUpstreamLink(systemClock);
     let hasLease = true;
     const lease = { mayOrder: () => hasLease, epoch: 7 } as unknown as OrderLeaseKeeper;
     const context = {
@@ -65,7 +65,7 @@
     const sent = sendOrder(context, createView(server), { action: 'load', model: MODEL });
     hasLease = false;
     t.is(await sent, 'unsent');
-    t.deepEqual(server.seenOrders, []);
+    t.deepEqual(server.orderLog, []);
     link.close();
     server.close();
   },
@@ -75,7 +75,7 @@
 test.serial('an order is not sent if the lease was taken again meanwhile', async (t) => {
   const server = new PlatformServer('e1', 'engine');
   await server.listen();
-  const link = new Upstreams(systemClock);
+  const link = new HttpUpstreamLink(systemClock);
   const lease = { mayOrder: () => true, epoch: 7 };
   const context = {
     lease: lease as unknown as OrderLeaseKeeper,
@@ -88,7 +88,7 @@
   const sent = sendOrder(context, createView(server), { action: 'load', model: MODEL });
   lease.epoch = 8;
   t.is(await sent, 'unsent');
-  t.deepEqual(server.seenOrders, []);
+  t.deepEqual(server.orderLog, []);
   link.close();
   server.close();
 });
@@ -97,7 +97,7 @@
 test.serial('an order that timed out before its connection was open is unsent', async (t) => {
   const server = new PlatformServer('e1', 'engine');
   await server.listen();
-  const link = new Upstreams(systemClock);
+  const link = new HttpUpstreamLink(systemClock);
   const order = {
     upstream: 'e1' as UpstreamId,
     address: server.address,
@@ -108,9 +108,9 @@
     fencingToken: 7,
   };
   const sent = link.order(order, TIMEOUT_MS, () => true);
-  standstill(2 * TIMEOUT_MS);
+  stallEventLoop(2 * TIMEOUT_MS);
   t.is(await sent, 'unsent');
-  t.deepEqual(server.seenOrders, []);
+  t.deepEqual(server.orderLog, []);
   link.close();
   server.close();
 });
@@ -139,9 +139,9 @@
       const rate = { type: 'unsaid' } as const;
       rig.entry.gate.onAnswer(info, { rate, isLeaving: true, unreadable: [] });
     });
-    const { status } = await askEntry(rig.port, { path: '/lookup/1' });
+    const { status } = await callEntry(rig.port, { path: '/lookup/1' });
     t.is(status, 503);
-    t.deepEqual(server.seen, []);
+    t.deepEqual(server.requestLog, []);
     rig.close();
   },
 );
@@ -155,9 +155,9 @@
       const { table } = rig.entry;
       rig.entry.setTable({ ...table!, routesByHost: new Map() });
     });
-    const { status } = await askEntry(rig.port, { path: '/lookup/1' });
+    const { status } = await callEntry(rig.port, { path: '/lookup/1' });
     t.is(status, 503);
-    t.deepEqual(server.seen, []);
+    t.deepEqual(server.requestLog, []);
     rig.close();
   },
 );
@@ -167,11 +167,11 @@
   'a request is not sent if its deadline passes while the connection is being opened',
   async (t) => {
     const server = new PlatformServer('p1', 'plain');
-    const rig = await startOpening(server, () => standstill(300));
+    const rig = await startOpening(server, () => stallEventLoop(300));
     const headers = { 'Tarragonstile-Deadline-Ms': '200' };
-    const { status } = await askEntry(rig.port, { path: '/lookup/1', headers });
+    const { status } = await callEntry(rig.port, { path: '/lookup/1', headers });
     t.is(status, 503);
-    t.deepEqual(server.seen, []);
+    t.deepEqual(server.requestLog, []);
     rig.close();
   },
 );
@@ -181,10 +181,10 @@
   'a connection that opened while the event loop was stalled is used, though its time-out fires first',
   async (t) => {
     const server = new PlatformServer('p1', 'plain');
-    const rig = await startOpening(server, () => standstill(500));
-    const { status } = await askEntry(rig.port, { path: '/lookup/1' });
+    const rig = await startOpening(server, () => stallEventLoop(500));
+    const { status } = await callEntry(rig.port, { path: '/lookup/1' });
     t.is(status, 200);
-    t.is(rig.said('upstreams taken for lost'), undefined);
+    t.is(rig.findLine('upstreams taken for lost'), undefined);
     rig.close();
   },
 );
--- a/test/oncedaemons.test.ts
+++ b/test/oncedaemons.test.ts
@@ -16,7 +16,7 @@
   const key = { 'idempotency-key': 'transfer-3' };
   const both = await Promise.all([fleet.confirm(0, 'T-3', key), fleet.confirm(1, 'T-3', key)]);
   for (const reply of both) t.deepEqual(reply, { status: 200, body: { done: 'T-3' } });
-  fleet.store.faults.loseAnswers = 2;
+  fleet.store.faults.answersToLose = 2;
   const lost = await fleet.confirm(0, 'T-4', { 'idempotency-key': 'transfer-4' });
   t.deepEqual(lost, { status: 200, body: { done: 'T-4' } });
   fleet.store.faults.down = true;
--- a/test/platformsettings.test.ts
+++ b/test/platformsettings.test.ts
@@ -5,7 +5,7 @@
 import { settingsSchema } from '../platform/settingsschema.js';
 import { loadSettings } from '../src/shell/settings/index.js';
 
-/** What the platform puts into the template's places. */
+/** Values that the platform inserts into the template. */
 const FIELDS: Readonly<Record<string, unknown>> = {
   node: 'front-1',
   ip: '10.1.0.38',
@@ -26,15 +26,15 @@
   'bounds.ceiling_overshoot': 1.1,
 };
 
-/** Sections are kept where their field is present, as the platform's page says. */
+/** A section of the template, which the platform keeps only if its field is set. */
 const SECTION = /\{\{#([\w.]+)\}\}([^]*?)\{\{\/\1\}\}/g;
 
 function load(fields: Readonly<Record<string, unknown>>) {
   const template = readFileSync('deploy/entry.jsonc', 'utf8');
-  const present = template.replaceAll(SECTION, (_all, name: string, inner: string) =>
+  const resolved = template.replaceAll(SECTION, (_all, name: string, inner: string) =>
     fields[name] === undefined ? '' : inner,
   );
-  const text = present.replaceAll(/\{\{([\w.]+)\|json\}\}/g, (_all, name: string) =>
+  const text = resolved.replaceAll(/\{\{([\w.]+)\|json\}\}/g, (_all, name: string) =>
     JSON.stringify(fields[name] ?? null),
   );
   const folder = mkdtempSync(join(tmpdir(), 'settings-'));
@@ -45,13 +45,13 @@
   return loaded;
 }
 
-test('the template makes settings that the schema takes', (t) => {
+test('the filled template satisfies the settings schema', (t) => {
   const settings = load(FIELDS);
   t.true(settings.ok);
   if (settings.ok) t.is(settings.val.storeAddress, '10.200.1.7:8142');
 });
 
-test('bounds of quotas are taken where the platform names them', (t) => {
+test('quota bounds are read if the platform sets them', (t) => {
   t.is(load(FIELDS).unwrap().quotaWindowS, undefined);
   const bounds = {
     'bounds.quota_window_s': 8,
@@ -70,7 +70,7 @@
   );
 });
 
-test('a field that is missing or wrong is named', (t) => {
+test('the failure names the missing or invalid field', (t) => {
   const cases: readonly [string, unknown, string][] = [
     ['platform.address', undefined, 'storeAddress'],
     ['listen.front', 'nowhere', 'callersAddress'],
--- a/test/poisonrequest.test.ts
+++ b/test/poisonrequest.test.ts
@@ -10,7 +10,7 @@
 import { join } from 'node:path';
 import type { ContentId } from '../src/base/index.js';
 import { PlatformServer } from '../standin/platform/index.js';
-import { askEntry } from './support/askentry.js';
+import { callEntry } from './support/callentry.js';
 import { PlatformRig } from './support/platformrig.js';
 
 const MODEL = { 'Tarragonstile-Model': 'm1' };
@@ -46,17 +46,17 @@
   const rig = new PlatformRig();
   t.teardown(() => rig.close());
   await rig.start(engines(4), true, 2);
-  await rig.until(() => rig.said('order turn taken') !== undefined);
-  rig.crashing.set(CRASHING, CRASH_AFTER_MS);
+  await rig.until(() => rig.findLine('order turn taken') !== undefined);
+  rig.crashDelayMsByPath.set(CRASHING, CRASH_AFTER_MS);
   const statuses: number[] = [];
   for (let at = 0; at < ARRIVALS; at += 1) {
     const request = { method: 'POST', path: CRASHING, headers: MODEL, body: 'x' };
-    statuses.push((await askEntry(rig.portOf(at % 2), request)).status);
+    statuses.push((await callEntry(rig.portOf(at % 2), request)).status);
     await pause(RETRY_AFTER_MS);
   }
   t.true(crashCount(rig) <= MAX_SENDS, `${crashCount(rig)} ended; ${statuses.join()}`);
   const other = { method: 'POST', path: '/draft/sound', headers: MODEL, body: 'x' };
-  t.is((await askEntry(rig.port, other)).status, 200);
+  t.is((await callEntry(rig.port, other)).status, 200);
 });
 
 /*
@@ -68,12 +68,12 @@
   const rig = new PlatformRig();
   t.teardown(() => rig.close());
   await rig.start(engines(4), true, 2);
-  await rig.until(() => rig.said('order turn taken') !== undefined);
-  rig.crashing.set(CRASHING, CRASH_AFTER_MS);
+  await rig.until(() => rig.findLine('order turn taken') !== undefined);
+  rig.crashDelayMsByPath.set(CRASHING, CRASH_AFTER_MS);
   for (let at = 0; at < ARRIVALS; at += 1) {
     const from = `127.0.0.${at + 2}`;
     const request = { method: 'POST', path: CRASHING, headers: MODEL, body: 'x', from };
-    await askEntry(rig.portOf(at % 2), request);
+    await callEntry(rig.portOf(at % 2), request);
     await pause(RETRY_AFTER_MS);
   }
   t.true(crashCount(rig) <= MAX_SENDS, `${crashCount(rig)} ended`);
@@ -81,10 +81,10 @@
 
 /** Sends the crashing request until there is a verdict. Returns how many upstreams crashed. */
 async function sendUntilVerdict(rig: PlatformRig): Promise<number> {
-  rig.crashing.set(CRASHING, CRASH_AFTER_MS);
+  rig.crashDelayMsByPath.set(CRASHING, CRASH_AFTER_MS);
   const request = { method: 'POST', path: CRASHING, headers: MODEL, body: 'x' };
-  for (let at = 0; rig.said('request judged') === undefined; at += 1) {
-    await askEntry(rig.portOf(at % 2), request);
+  for (let at = 0; rig.findLine('request judged') === undefined; at += 1) {
+    await callEntry(rig.portOf(at % 2), request);
   }
   return crashCount(rig);
 }
@@ -93,7 +93,7 @@
   const rig = new PlatformRig();
   t.teardown(() => rig.close());
   await rig.start(engines(4), true, 2);
-  await rig.until(() => rig.said('order turn taken') !== undefined);
+  await rig.until(() => rig.findLine('order turn taken') !== undefined);
   t.true((await sendUntilVerdict(rig)) <= 3);
   await rig.until(() => rig.store.model.list(RECORDS).items.length === crashCount(rig));
   const ended = crashCount(rig);
@@ -102,7 +102,7 @@
   for (const at of [0, 1]) await rig.until(() => rig.entryOf(at).isReady());
   for (const at of [0, 1]) {
     const request = { method: 'POST', path: CRASHING, headers: MODEL, body: 'x' };
-    const answer = await askEntry(rig.portOf(at), request);
+    const answer = await callEntry(rig.portOf(at), request);
     t.is(answer.status, 503);
     t.regex(answer.body, /request-ends-upstreams/);
     t.regex(answer.body, /"executed":"no"/);
@@ -114,15 +114,15 @@
   const rig = new PlatformRig();
   t.teardown(() => rig.close());
   const [first, ...rest] = engines(3);
-  first!.manners.push('paused', 'paused');
+  first!.behaviors.push('paused', 'paused');
   await rig.start([first!, ...rest]);
-  await rig.until(() => rig.said('order turn taken') !== undefined);
+  await rig.until(() => rig.findLine('order turn taken') !== undefined);
   const ask = (name: string) => {
     const request = { method: 'POST', path: `/draft/${name}`, headers: MODEL, body: 'x' };
-    return askEntry(rig.port, request);
+    return callEntry(rig.port, request);
   };
   const beside = ask('a');
-  await rig.until(() => first!.ran.length === 1);
+  await rig.until(() => first!.runs.length === 1);
   first!.crash();
   t.false((await beside).isWhole);
   for (const name of ['a', 'b', 'c']) t.is((await ask(name)).status, 200, name);
@@ -133,9 +133,9 @@
   t.teardown(() => rig.close());
   rig.store.put(`${RECORDS}e9`, '{"suspects":[{"content":"c"}]}');
   await rig.start(engines(2));
-  t.truthy(rig.said('poison record not readable'));
+  t.truthy(rig.findLine('poison record not readable'));
   const request = { method: 'POST', path: '/draft/sound', headers: MODEL, body: 'x' };
-  t.is((await askEntry(rig.port, request)).status, 200);
+  t.is((await callEntry(rig.port, request)).status, 200);
 });
 
 const BIN = join(import.meta.dirname, '..', '..', 'bin', 'tarragonstile.js');
@@ -150,15 +150,15 @@
   const rig = new PlatformRig();
   t.teardown(() => rig.close());
   await rig.start(engines(4), true, 2);
-  await rig.until(() => rig.said('order turn taken') !== undefined);
+  await rig.until(() => rig.findLine('order turn taken') !== undefined);
   await sendUntilVerdict(rig);
   await rig.until(() => rig.store.model.list(RECORDS).items.length === crashCount(rig));
   const [, content = ''] =
     /^poison (\S+) engine m1 /m.exec(await command('--peer', rig.peerOf(0))) ?? [];
   t.not(content, '');
-  rig.crashing.clear();
+  rig.crashDelayMsByPath.clear();
   t.regex(await command('--peer', rig.peerOf(1), '--lift', content), /may run again/);
   await rig.until(() => rig.entryOf(0).poison.verdict(content as ContentId) === 'sound');
   const request = { method: 'POST', path: CRASHING, headers: MODEL, body: 'x' };
-  t.is((await askEntry(rig.portOf(0), request)).status, 200);
+  t.is((await callEntry(rig.portOf(0), request)).status, 200);
 });
--- a/test/serverleaves.test.ts
+++ b/test/serverleaves.test.ts
@@ -9,7 +9,7 @@
  */
 import test from 'ava';
 import { PlatformServer } from '../standin/platform/index.js';
-import { askEntry } from './support/askentry.js';
+import { callEntry } from './support/callentry.js';
 import { PlatformRig } from './support/platformrig.js';
 
 const REQUESTS = 30;
@@ -43,22 +43,22 @@
     first.isLeaving = true;
     for (let entry = 0; entry < ENTRIES; entry += 1) {
       const ask = (at: number) =>
-        askEntry(rig.portOf(entry), { path: `/${kind}/${entry}-${at}`, headers: headersOf(kind) });
+        callEntry(rig.portOf(entry), { path: `/${kind}/${entry}-${at}`, headers: headersOf(kind) });
       let at = 0;
       // This entry may know from another one already.
       let { head, status } = await ask(at);
       t.is(status, 200);
       if (!head.includes('by-first')) continue;
-      const before = first.seen.length;
+      const before = first.requestLog.length;
       for (at = 1; at <= REQUESTS; at += 1) {
         ({ head, status } = await ask(at));
         t.is(status, 200);
       }
-      t.is(first.seen.length, before);
+      t.is(first.requestLog.length, before);
       // The list is older than the answer and must not override it.
-      rig.list(first);
+      rig.publish(first);
       for (; at <= 2 * REQUESTS; at += 1) t.is((await ask(at)).status, 200);
-      t.is(first.seen.length, before);
+      t.is(first.requestLog.length, before);
     }
   });
 
@@ -67,14 +67,14 @@
     t.teardown(() => rig.close());
     const [first, second] = pair(service);
     await rig.start([first, second]);
-    first.manners.push('pause');
+    first.behaviors.push('pause');
     const headers = headersOf(kind);
     for (let at = 0; at < REQUESTS; at += 1) {
       // While the other upstream is busy, one that is only avoided would be sent requests again.
-      second.manners.push('full');
-      await askEntry(rig.port, { path: `/${kind}/${at}`, headers });
+      second.behaviors.push('full');
+      await callEntry(rig.port, { path: `/${kind}/${at}`, headers });
     }
-    t.true(first.seen.length + first.turnedAway.length - 1 <= MAX_IN_BACKOFF);
+    t.true(first.requestLog.length + first.refusals.length - 1 <= MAX_IN_BACKOFF);
   });
 }
 
@@ -82,16 +82,16 @@
   const rig = new PlatformRig();
   t.teardown(() => rig.close());
   const [first, second] = pair('plain');
-  [first.pauseText, second.pauseText] = ['40', '60.5'];
+  [first.retryAfterText, second.retryAfterText] = ['40', '60.5'];
   await rig.start([first, second]);
-  first.manners.push('pause');
-  second.manners.push('pause');
-  const { status, head, body } = await askEntry(rig.port, { path: '/lookup/1' });
+  first.behaviors.push('pause');
+  second.behaviors.push('pause');
+  const { status, head, body } = await callEntry(rig.port, { path: '/lookup/1' });
   t.is(status, 503);
   t.regex(body, /upstreams-paused/);
   const retryAfterS = Number(/retry-after: ([\d.]+)/i.exec(head)?.[1]);
   t.true(retryAfterS > 30 && retryAfterS <= 41.5, String(retryAfterS));
-  t.is(first.turnedAway.length + second.turnedAway.length, 2);
+  t.is(first.refusals.length + second.refusals.length, 2);
 });
 
 test('if all upstreams of a service leave, a request is refused at once and has not run', async (t) => {
@@ -100,10 +100,10 @@
   const [first, second] = pair('plain');
   await rig.start([first, second]);
   for (const server of [first, second]) server.isLeaving = true;
-  for (const at of [1, 2]) t.is((await askEntry(rig.port, { path: `/lookup/${at}` })).status, 200);
-  const ranCount = first.seen.length + second.seen.length;
-  const { status, body } = await askEntry(rig.port, { path: '/lookup/3' });
+  for (const at of [1, 2]) t.is((await callEntry(rig.port, { path: `/lookup/${at}` })).status, 200);
+  const ranCount = first.requestLog.length + second.requestLog.length;
+  const { status, body } = await callEntry(rig.port, { path: '/lookup/3' });
   t.is(status, 503);
   t.regex(body, /"executed":"no"/);
-  t.is(first.seen.length + second.seen.length, ranCount);
+  t.is(first.requestLog.length + second.requestLog.length, ranCount);
 });
--- a/test/serverneed.test.ts
+++ b/test/serverneed.test.ts
@@ -5,7 +5,7 @@
  */
 import test from 'ava';
 import { PlatformServer } from '../standin/platform/index.js';
-import { askEntry } from './support/askentry.js';
+import { callEntry } from './support/callentry.js';
 import { PlatformRig } from './support/platformrig.js';
 
 const WINDOW_MS = 4000;
@@ -50,7 +50,7 @@
     for (let at = 0; at < REQUESTS_EACH; at += 1) {
       const path = `/${kind}/${entry}-${at}`;
       if (isInformed) informedPaths.add(path);
-      const answer = await askEntry(rig.portOf(entry), { path, headers });
+      const answer = await callEntry(rig.portOf(entry), { path, headers });
       statuses.add(answer.status);
       if (answer.head.includes(`by-${limited}`)) isInformed = true;
     }
@@ -77,7 +77,7 @@
     t.true(informedPaths.size > 0);
     // The other upstream has capacity for all of them.
     t.deepEqual([...statuses], [200]);
-    const arrivals = limited!.seen.filter(({ path }) => informedPaths.has(path));
+    const arrivals = limited!.requestLog.filter(({ path }) => informedPaths.has(path));
     t.true(maxInWindow(arrivals) <= allowed(LIMIT_PER_S), String(maxInWindow(arrivals)));
   });
 }
@@ -88,7 +88,7 @@
   const server = new PlatformServer('only', 'plain');
   await rig.start([server]);
   server.limitPerS = LIMIT_PER_S;
-  const ask = (at: number) => askEntry(rig.port, { path: `/lookup/${at}` });
+  const ask = (at: number) => callEntry(rig.port, { path: `/lookup/${at}` });
   t.is((await ask(0)).status, 200);
   const answers = await Promise.all([1, 2, 3, 4, 5, 6].map(ask));
   const refused = answers.filter(({ status }) => status === 503);
--- a/test/store.test.ts
+++ b/test/store.test.ts
@@ -92,11 +92,11 @@
 
   test(`${name}: a write without an answer has an unknown outcome, whether or not it took effect`, async (t) => {
     const { store, behind, close } = await build();
-    behind.faults.loseAnswers = 1;
+    behind.faults.answersToLose = 1;
     const effective = await store.swap({ key: '/a/1', value: 'x', expectedRevision: NONE });
     t.is(effective.err && effective.val.type, 'store-outcome-unknown');
     t.is((await store.get('/a/1')).unwrap()?.value, 'x');
-    behind.faults.loseRequests = 1;
+    behind.faults.requestsToLose = 1;
     const lost = await store.swap({ key: '/a/2', value: 'x', expectedRevision: NONE });
     t.is(lost.err && lost.val.type, 'store-outcome-unknown');
     t.is((await store.get('/a/2')).unwrap(), undefined);
--- a/test/support/platformrig.ts
+++ b/test/support/platformrig.ts
@@ -4,7 +4,7 @@
 import { freePort } from './freeport.js';
 import { configurationOf, PlatformServer, PlatformStore } from '../../standin/platform/index.js';
 
-/** One line of the entry's log. */
+/** A log line of an entry. */
 interface Line {
   readonly message: string;
   readonly fields: Readonly<Record<string, unknown>>;
@@ -19,10 +19,10 @@
   { name: 'batch', kind: 'streaming', service: 'engine', maxAttempts: 2, resumable: true },
 ];
 const HOST = 'caller.example';
-/** How long the list still names a server that has crashed. */
+/** Delay after which the store record of a crashed server disappears. */
 const LAPSE_MS = 300;
 
-/** An entry on the stand-ins of the prepared platform. */
+/** Runs entries against stand-ins for the platform's store and servers. */
 export class PlatformRig {
   readonly store = new PlatformStore();
 
@@ -30,16 +30,16 @@
 
   readonly lines: Line[] = [];
 
-  /** Paths whose requests end the server that runs them, by how many ms after their run began. */
-  readonly crashing = new Map<string, number>();
+  /** Paths whose requests crash their server, with the delay from the start of the run to the crash, in ms. */
+  readonly crashDelayMsByPath = new Map<string, number>();
 
-  /** Customers of the next configurations; none are configured while this is undefined. */
+  /** Customers in the next configurations; undefined: no customers are configured. */
   customers: Parameters<typeof configurationOf>[3];
 
-  /** Of all routes of the next configurations; the stand-in's own without it. */
+  /** Target latency of all routes in the next configurations; undefined: the default of `configurationOf`. */
   targetLatencyMs: number | undefined;
 
-  /** Of entries that start from now on. */
+  /** Setting of entries that are started from now on. */
   strictRevokeMs: number | undefined;
 
   private readonly started: (Awaited<ReturnType<typeof startEntry>> | undefined)[] = [];
@@ -50,7 +50,7 @@
 
   private isClosed = false;
 
-  /** Starts the servers, writes the first configuration, and waits until the entry is ready. */
+  /** Starts servers and entries, writes the first configuration and waits until the entries are ready. */
   async start(
     servers: readonly PlatformServer[],
     isConfigured = true,
@@ -60,12 +60,12 @@
     for (const server of servers) await this.add(server);
     if (isConfigured) this.configure(1);
     for (let at = 0; at < entryCount; at += 1) await this.startEntry(at);
-    for (const each of isConfigured ? this.started : []) {
-      await this.until(() => each!.entry.isReady());
+    for (const started of isConfigured ? this.started : []) {
+      await this.until(() => started!.entry.isReady());
     }
   }
 
-  /** Starts the entry of this number, again after `stopEntry`. */
+  /** Starts the entry with this index, also again after `stopEntry`. */
   async startEntry(at: number): Promise<void> {
     const write = (message: string, fields = {}) => {
       this.lines.push({ message, fields });
@@ -104,7 +104,7 @@
     );
   }
 
-  /** Ends the entry of this number, as a kill does: it tells nobody. */
+  /** Stops the entry with this index without draining, as a kill does. */
   stopEntry(at: number): void {
     this.started[at]?.close();
     this.started[at] = undefined;
@@ -114,7 +114,7 @@
     return this.portOf(0);
   }
 
-  /** Where other entries reach the entry of this number. */
+  /** Returns the address at which other entries reach the entry with this index. */
   peerOf(at: number): string {
     return this.peers[at]!;
   }
@@ -134,16 +134,16 @@
   async add(server: PlatformServer): Promise<void> {
     this.servers.push(server);
     await server.listen();
-    const told = server;
-    told.changed = () => this.list(server);
-    told.crashing = this.crashing;
-    told.crashed = () => {
+    const added = server;
+    added.onChange = () => this.publish(server);
+    added.crashDelayMsByPath = this.crashDelayMsByPath;
+    added.onCrash = () => {
       this.replace(server).catch(() => undefined);
     };
-    this.list(server);
+    this.publish(server);
   }
 
-  /** A server that has ended starts again as another one, with what it held; the list forgets it later. */
+  /** Replaces a crashed server by a new one with the same models; the old store record disappears later. */
   private async replace({ id, service, availabilityZone, models }: PlatformServer): Promise<void> {
     const next = new PlatformServer(`${id}+`, service, availabilityZone);
     for (const [model, adapters] of models) next.models.set(model, new Set(adapters));
@@ -151,7 +151,7 @@
     if (!this.isClosed) await this.add(next);
   }
 
-  list(server: PlatformServer, state = 'ready'): void {
+  publish(server: PlatformServer, state = 'ready'): void {
     this.store.put(`servers/${server.id}`, server.entry(state));
   }
 
@@ -162,7 +162,7 @@
     this.store.put('op/config', configurationOf(version, HOST, routes, this.customers));
   }
 
-  /** Waits for something that follows from what was done; ava's own timeout ends a wait in vain. */
+  /** Polls until a condition holds; ava's timeout fails a test whose condition never holds. */
   async until(isTrue: () => boolean): Promise<void> {
     while (!isTrue()) {
       await new Promise((resolve) => {
@@ -171,13 +171,14 @@
     }
   }
 
-  said(message: string): Line | undefined {
+  /** Returns the first log line with this message. */
+  findLine(message: string): Line | undefined {
     return this.lines.find((line) => line.message === message);
   }
 
   close(): void {
     this.isClosed = true;
-    for (const each of this.started) each?.close();
+    for (const started of this.started) started?.close();
     this.store.close();
     for (const server of this.servers) server.close();
   }
--- a/test/support/askraw.ts
+++ b/test/support/sendraw.ts
@@ -1,11 +1,11 @@
 import { connect } from 'node:net';
 
-/** An answer as it stood on the socket. */
+/** An answer as read from the socket. */
 interface RawAnswer {
   readonly status: number;
   readonly head: string;
   readonly body: string;
-  /** True if the answer's own framing says that it is whole. */
+  /** True if the answer is complete according to its framing. */
   readonly isWhole: boolean;
 }
 
@@ -22,8 +22,8 @@
   return { status, head, body, isWhole };
 }
 
-/** Sends bytes as they are, from an address of the loopback, and reads until the connection ends. */
-export function askRaw(
+/** Sends raw bytes from a loopback address and reads until the connection ends. */
+export function sendRaw(
   port: number,
   bytes: string,
   localAddress = '127.0.0.1',
