--- a/src/sidecar/runonce/handovertable.ts
+++ b/src/sidecar/runonce/handovertable.ts
@@ -54,9 +54,6 @@
     }
     log.warn('ticket table not accepted by peer', { peer: upstream });
   }
-  log.error(
-    'ticket table not handed over: no peer accepted it, its tickets are unknown from now on',
-    { ticketCount },
-  );
+  log.error('no peer took the ticket table: its tickets are unknown from now on', { ticketCount });
   metrics.count('ticket.abandoned', ticketCount);
 }
