--- a/bench/allocationcost.ts
+++ b/bench/allocationcost.ts
@@ -65,7 +65,7 @@
     upstreams,
     demand,
     isDemandKnown: true,
-    promptsPerPause: 9,
+    promptsPerGap: 9,
     coldLoadsLeft: engines,
   };
 }
--- a/bench/ledgercheck/checkledger.ts
+++ b/bench/ledgercheck/checkledger.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check';
 import { defaultFenceRules, type FenceRules } from '../../src/core/fence/index.js';
-import { residencyRulesInForce, type ResidencyRules } from '../../src/core/residency/index.js';
+import { defaultResidencyRules, type ResidencyRules } from '../../src/core/residency/index.js';
 import { World } from './world.js';
 
 const MAX_CHOICE = 2 ** 16;
@@ -49,7 +49,7 @@
 /** Runs random interleavings until one violates an invariant, and shrinks that one. */
 export function checkLedger(options: CheckOptions): CheckResult {
   const { checksFencing, runs, seed, length } = options;
-  const { fence = defaultFenceRules, residency = residencyRulesInForce } = options;
+  const { fence = defaultFenceRules, residency = defaultResidencyRules } = options;
   const setup = { checksFencing, fence, residency };
   const choice = fc.nat(MAX_CHOICE);
   const lengths = { minLength: length / 2, maxLength: length, size: 'max' as const };
--- a/bench/ledgercheck/mutations.ts
+++ b/bench/ledgercheck/mutations.ts
@@ -1,7 +1,7 @@
 import type { Incarnation } from '../../src/base/index.js';
 import { defaultFenceRules, type FenceRules } from '../../src/core/fence/index.js';
 import { defaultLedgerRules, type LedgerRules } from '../../src/core/ledger/index.js';
-import { residencyRulesInForce, type ResidencyRules } from '../../src/core/residency/index.js';
+import { defaultResidencyRules, type ResidencyRules } from '../../src/core/residency/index.js';
 
 /** A safety guard and the rules that disable it. */
 interface Mutation {
@@ -19,11 +19,11 @@
 const BOTH = [true, false];
 
 function withLedgerRules(change: Partial<LedgerRules>): ResidencyRules {
-  return { ...residencyRulesInForce, ledger: { ...defaultLedgerRules, ...change } };
+  return { ...defaultResidencyRules, ledger: { ...defaultLedgerRules, ...change } };
 }
 
 function withResidencyRules(change: Partial<ResidencyRules>): ResidencyRules {
-  return { ...residencyRulesInForce, ...change };
+  return { ...defaultResidencyRules, ...change };
 }
 
 /** All guards, each disabled on its own. */
--- a/bench/once/mutations.ts
+++ b/bench/once/mutations.ts
@@ -108,8 +108,8 @@
   {
     guard: 'a key that cannot be read is unknown, not unrun',
     file: 'idempotency/stepmapping.js',
-    find: "cannot be read now.', { executed: Executed.EXECUTED_UNKNOWN }",
-    replace: "cannot be read now.', {}",
+    find: "cannot be determined now.', { executed: Executed.EXECUTED_UNKNOWN }",
+    replace: "cannot be determined now.', {}",
   },
   {
     guard: 'without a ticket the store is asked before a no',
@@ -143,7 +143,7 @@
   },
   {
     guard: 'an attempt without a known end spoils a later no',
-    file: 'idempotency/conclude.js',
+    file: 'idempotency/finalrefusal.js',
     find: 'return known ? last',
     replace: 'return true ? last',
   },
--- a/bench/path/linkclient.ts
+++ b/bench/path/linkclient.ts
@@ -13,7 +13,7 @@
 
 const { link: type, ports, streams } = JSON.parse(process.argv[2] ?? '{}') as ClientOptions;
 const shared = () =>
-  new SharedLink({ clock: systemClock, revision: () => 0, sawRevision: () => {} });
+  new SharedLink({ clock: systemClock, revision: () => 0, observeRevision: () => {} });
 const link = type === 'shared' ? shared() : new StreamLink();
 const head = RequestHead.fromPartial({ model: 'notice-1', body: Buffer.alloc(500) });
 let tokenCount = 0;
--- a/bench/path/source.ts
+++ b/bench/path/source.ts
@@ -61,7 +61,7 @@
       new Exchange(call, {
         run: (requestId, _head, outlet) => run(requestId, outlet),
         revision: () => 0,
-        sawRevision: () => {},
+        observeRevision: () => {},
       }),
     );
   },
--- a/bench/platformpolicy/world.ts
+++ b/bench/platformpolicy/world.ts
@@ -308,7 +308,7 @@
         .filter(({ isLost }) => !isLost)
         .map((upstream) => this.planUpstream(upstream, slots)),
       demand: this.book.estimate(SERVICE, this.nowMs, isReady),
-      promptsPerPause: this.deployment.promptsPerGap,
+      promptsPerGap: this.deployment.promptsPerGap,
       isDemandKnown: this.book.isDemandKnown(this.nowMs),
       coldLoadsLeft: this.budget.left(engine.loadsPerSecond, this.nowMs),
     };
--- a/src/core/allocation/loadprojection.ts
+++ b/src/core/allocation/loadprojection.ts
@@ -34,8 +34,8 @@
   private readonly requestsPerEngineS: number;
 
   constructor(readonly input: PlanInput) {
-    const { engine, upstreams, demand, promptsPerPause } = input;
-    this.onTimeShare = onTimeFill(promptsPerPause);
+    const { engine, upstreams, demand, promptsPerGap } = input;
+    this.onTimeShare = onTimeFill(promptsPerGap);
     this.sites = upstreams.map((upstream) => this.siteOf(upstream));
     const slots = Math.max(1, ...upstreams.map((upstream) => upstream.slots));
     let load = 0;
--- a/src/core/allocation/planinput.ts
+++ b/src/core/allocation/planinput.ts
@@ -11,7 +11,7 @@
   /** False while too little demand has been observed: the loaded models are the better evidence then. */
   readonly isDemandKnown: boolean;
   /** Prompts that an engine can prefill within one target token gap; undefined if not yet measured. */
-  readonly promptsPerPause?: number | undefined;
+  readonly promptsPerGap?: number | undefined;
   /** Loads from the weight store that may start now. */
   readonly coldLoadsLeft: number;
 }
--- a/src/core/handover/limits.ts
+++ b/src/core/handover/handoverlimits.ts
@@ -1,7 +1,7 @@
 import type { Ms } from '../../base/index.js';
 
 /** Limits of one hand-over. */
-export interface Limits {
+export interface HandOverLimits {
   /** Total size of the caches of all sessions. */
   readonly totalBytes: number;
   /** Largest cache that one message can carry. */
--- a/src/core/handover/handoverstate.ts
+++ b/src/core/handover/handoverstate.ts
@@ -1,6 +1,6 @@
 import type { Ms, RequestId, UpstreamId } from '../../base/index.js';
 import type { HandOverPhase } from './handoverphase.js';
-import type { Limits } from './limits.js';
+import type { HandOverLimits } from './handoverlimits.js';
 import type { Session } from './session.js';
 
 /** A session that is being handed over. */
@@ -13,7 +13,7 @@
 
 /** State of the hand-over on a planned stop. */
 export interface HandOverState {
-  readonly limits: Limits;
+  readonly limits: HandOverLimits;
   /** In the order in which they are exported. */
   readonly moving: ReadonlyMap<RequestId, Moving>;
   /** Total size of the caches sent or being sent. */
--- a/src/core/handover/idlehandover.ts
+++ b/src/core/handover/idlehandover.ts
@@ -1,7 +1,7 @@
 import type { HandOverState } from './handoverstate.js';
-import type { Limits } from './limits.js';
+import type { HandOverLimits } from './handoverlimits.js';
 
 /** Returns the state before a hand-over begins. */
-export function idleHandOver(limits: Limits): HandOverState {
+export function idleHandOver(limits: HandOverLimits): HandOverState {
   return { limits, moving: new Map(), sentBytes: 0, untilMs: Infinity };
 }
--- a/src/core/handover/index.ts
+++ b/src/core/handover/index.ts
@@ -4,6 +4,6 @@
 export type { HandOverState } from './handoverstate.js';
 export type { Holder } from './holder.js';
 export { idleHandOver } from './idlehandover.js';
-export type { Limits } from './limits.js';
+export type { HandOverLimits } from './handoverlimits.js';
 export type { Session } from './session.js';
 export { stepHandOver } from './stephandover.js';
--- a/src/core/mesh/rankentries.ts
+++ b/src/core/mesh/rankentries.ts
@@ -1,7 +1,7 @@
 import { hash32 } from '../hash/index.js';
 import type { MeshHost } from './meshhost.js';
 
-function weigh(host: MeshHost): number {
+function relayWeight(host: MeshHost): number {
   return hash32(`relay/${host.id}`);
 }
 
@@ -9,6 +9,6 @@
 export function rankEntries(entries: readonly MeshHost[]): readonly MeshHost[] {
   const leaving = (host: MeshHost) => Number(host.state === 'leaving');
   return [...entries].sort(
-    (a, b) => leaving(a) - leaving(b) || weigh(b) - weigh(a) || (a.id < b.id ? -1 : 1),
+    (a, b) => leaving(a) - leaving(b) || relayWeight(b) - relayWeight(a) || (a.id < b.id ? -1 : 1),
   );
 }
--- a/src/core/placement/index.ts
+++ b/src/core/placement/index.ts
@@ -3,7 +3,7 @@
 export type { CellPlan } from './cellplan.js';
 export { cellsOfModel } from './cellsofmodel.js';
 export type { CellUpstream } from './cellupstream.js';
-export { cutCells } from './cutcells.js';
+export { splitCells } from './splitcells.js';
 export type { Demand } from './demand.js';
 export type { Placed } from './placed.js';
 export { placementRules } from './placementrules.js';
--- a/src/core/placement/cutcells.ts
+++ b/src/core/placement/splitcells.ts
@@ -8,7 +8,7 @@
  * Partitions a service's upstreams of one region into cells of at most `limit`. The upstreams of each availability
  * zone are assigned round-robin in hash order, so that every cell gets a part of every zone.
  */
-export function cutCells<
+export function splitCells<
   Upstream extends { readonly id: UpstreamId; readonly availabilityZone: string },
 >(upstreams: readonly Upstream[], limit: number = CELL_LIMIT): readonly (readonly Upstream[])[] {
   const count = Math.max(1, Math.ceil(upstreams.length / limit));
--- a/src/core/promptpace/isprefilling.ts
+++ b/src/core/promptpace/isprefilling.ts
@@ -4,14 +4,14 @@
 /** What one entry observes of an engine. */
 interface EngineView {
   /** The entry's own requests there that have no first event yet, so that their prompts are still in prefill. */
-  readonly readingCount: number;
+  readonly prefillCount: number;
   /** The entry's own streams there that have begun. */
   readonly streamCount: number;
   /** Time of the last event of any of these streams. */
   readonly eventAtMs: Ms;
   /** Time between two events of a stream, and from a request to its first event, with few prefills running. */
-  readonly calmGapMs: Ms;
-  readonly calmFirstMs: Ms;
+  readonly unloadedGapMs: Ms;
+  readonly unloadedFirstEventMs: Ms;
 }
 
 /**
@@ -21,8 +21,11 @@
  * this reduces late streams from 112 to 0 at 7 requests/s and from 246 to 70 at 8 requests/s.
  */
 export function isPrefilling(view: EngineView, gapTargetMs: Ms, nowMs: Ms): boolean {
-  const maxPrefills = Math.max(1, (gapTargetMs * promptPaceRules.prefillShare) / view.calmFirstMs);
-  if (view.readingCount >= Math.floor(maxPrefills)) return true;
+  const maxPrefills = Math.max(
+    1,
+    (gapTargetMs * promptPaceRules.prefillShare) / view.unloadedFirstEventMs,
+  );
+  if (view.prefillCount >= Math.floor(maxPrefills)) return true;
   if (view.streamCount === 0) return false;
-  return nowMs - view.eventAtMs > view.calmGapMs + gapTargetMs * promptPaceRules.stallShare;
+  return nowMs - view.eventAtMs > view.unloadedGapMs + gapTargetMs * promptPaceRules.stallShare;
 }
--- a/src/core/residency/residencyrulesinforce.ts
+++ b/src/core/residency/defaultresidencyrules.ts
@@ -10,7 +10,7 @@
 }
 
 /** The guards in production. */
-export const residencyRulesInForce: ResidencyRules = {
+export const defaultResidencyRules: ResidencyRules = {
   ledger: defaultLedgerRules,
   mayOrder: ({ incarnation, isSuperseded }) => incarnation > 0 && !isSuperseded,
   hasCurrentReport: ({ ledger, takenAtPoll }) => ledger.poll > takenAtPoll,
--- a/src/core/residency/index.ts
+++ b/src/core/residency/index.ts
@@ -4,7 +4,7 @@
 export type { ResidencyEvent } from './residencyevent.js';
 export type { ResidencyFailure } from './residencyfailure.js';
 export type { ResidencyRules } from './residencyrules.js';
-export { residencyRulesInForce } from './residencyrulesinforce.js';
+export { defaultResidencyRules } from './defaultresidencyrules.js';
 export type { ResidencyState } from './residencystate.js';
 export { readyInMs } from './readyinms.js';
 export { stepResidency } from './stepresidency.js';
--- a/src/core/residency/stepresidency.ts
+++ b/src/core/residency/stepresidency.ts
@@ -10,7 +10,7 @@
 import { issueOrders } from './issueorders.js';
 import type { ResidencyEvent } from './residencyevent.js';
 import type { ResidencyRules } from './residencyrules.js';
-import { residencyRulesInForce } from './residencyrulesinforce.js';
+import { defaultResidencyRules } from './defaultresidencyrules.js';
 import type { ResidencyState } from './residencystate.js';
 
 type Handler<Type extends ResidencyEvent['type']> = (
@@ -100,7 +100,7 @@
   state: ResidencyState,
   event: ResidencyEvent,
   nowMs: Ms,
-  rules: ResidencyRules = residencyRulesInForce,
+  rules: ResidencyRules = defaultResidencyRules,
 ): Changed {
   const handle = HANDLERS[event.type] as Handler<ResidencyEvent['type']>;
   const handled = handle(state, event, nowMs, rules);
--- a/src/core/residency/unplacedof.ts
+++ b/src/core/residency/unplacedof.ts
@@ -1,6 +1,6 @@
 import { isEvictable } from '../reconcile/index.js';
 import type { ResidencyRules } from './residencyrules.js';
-import { residencyRulesInForce } from './residencyrulesinforce.js';
+import { defaultResidencyRules } from './defaultresidencyrules.js';
 import type { ResidencyState } from './residencystate.js';
 import { viewOf } from './viewof.js';
 
@@ -11,7 +11,7 @@
 export function unplacedOf(
   state: ResidencyState,
   nowMs: number,
-  rules: ResidencyRules = residencyRulesInForce,
+  rules: ResidencyRules = defaultResidencyRules,
 ): number {
   if (!state.plan) return 0;
   const view = viewOf(state, nowMs, rules);
--- a/src/core/selfreport/applyselfreport.ts
+++ b/src/core/selfreport/applyselfreport.ts
@@ -11,15 +11,15 @@
   report: SelfReport,
   nowMs: Ms,
 ): ReportedState {
-  const { rate, backoffMs: pauseMs } = report;
+  const { rate, backoffMs } = report;
   const hasRate = rate.type !== 'unsaid' && nowMs >= state.rateAtMs;
   const wasLimited = state.ratePerS !== undefined;
   const isRelevant =
-    rate.type === 'limited' || wasLimited || report.isLeaving || pauseMs !== undefined;
+    rate.type === 'limited' || wasLimited || report.isLeaving || backoffMs !== undefined;
   if (!isRelevant) return state;
-  const pausedUntilMs = Math.max(state.pausedUntilMs, nowMs + (pauseMs ?? -Infinity));
+  const backoffUntilMs = Math.max(state.backoffUntilMs, nowMs + (backoffMs ?? -Infinity));
   const isLeaving = state.isLeaving || report.isLeaving;
-  const next = { ...state, isLeaving, pausedUntilMs };
+  const next = { ...state, isLeaving, backoffUntilMs };
   if (!hasRate) return next;
   const ratePerS = rate.type === 'limited' ? rate.perS : undefined;
   return { ...next, ratePerS, rateAtMs: nowMs };
--- a/src/core/selfreport/initialreportedstate.ts
+++ b/src/core/selfreport/initialreportedstate.ts
@@ -4,5 +4,5 @@
 export const initialReportedState: ReportedState = {
   rateAtMs: -Infinity,
   isLeaving: false,
-  pausedUntilMs: -Infinity,
+  backoffUntilMs: -Infinity,
 };
--- a/src/core/selfreport/reportedstate.ts
+++ b/src/core/selfreport/reportedstate.ts
@@ -9,5 +9,5 @@
   /** It is about to end. An incarnation that leaves never comes back. */
   readonly isLeaving: boolean;
   /** It asked this process to send it nothing before then. */
-  readonly pausedUntilMs: Ms;
+  readonly backoffUntilMs: Ms;
 }
--- a/src/direct/directentry.ts
+++ b/src/direct/directentry.ts
@@ -38,7 +38,7 @@
 import { ReturnDetector } from './returndetector.js';
 import { UpstreamGate, type SlotAnswer, type SlotRequest } from './selfreport/index.js';
 import { Run } from './run/index.js';
-import { Seeker } from './seeker.js';
+import { TargetFinder } from './targetfinder.js';
 import type { Serving } from './serving.js';
 import type { StateCodec } from './statecodec.js';
 import { Follower, paceTable, SharedFeed } from './sync/index.js';
@@ -98,7 +98,7 @@
 
   private readonly intakes = new Set<Intake>();
 
-  private readonly quotaBook: QuotaLedger;
+  private readonly quotaLedger: QuotaLedger;
 
   private readonly meter: DemandMeter;
 
@@ -108,7 +108,7 @@
 
   private readonly peers: Peers;
 
-  private readonly seeker: Seeker;
+  private readonly targetFinder: TargetFinder;
 
   private readonly orderLeaseKey: string;
 
@@ -129,7 +129,7 @@
     this.clock = clock;
     this.log = log;
     this.link = link;
-    this.gate = this.upstreamGate();
+    this.gate = this.createUpstreamGate();
     this.fleet = new Fleet(settings.availabilityZone, this.gate);
     const { host, peerListen, orderTurnMs, loadWindowMs, loadOvershoot } = settings;
     const address = `${peerListen.host}:${peerListen.port}`;
@@ -142,7 +142,7 @@
         const holder = this.orderLease.holderAddress();
         return holder === address ? undefined : holder;
       },
-      ask: (to, question) => this.peers.changes(to, question),
+      ask: (to, request) => this.peers.changes(to, request),
     });
     this.follower = new Follower(this.shared, codec, this, clock, log, () => this.pace());
     this.meter = new DemandMeter(host, address);
@@ -160,13 +160,13 @@
       entries: () => ({ count: this.knownCount(), parts: this.entryParts() }),
       onTaken: (isFirst) => {
         this.dispatcher.leaseTaken(isFirst);
-        this.quotaBook.takeOver(isFirst);
+        this.quotaLedger.takeOver(isFirst);
         this.gate.takeOver();
       },
     });
     const { quotaTerms: terms } = settings;
     const parts = () => this.entryParts();
-    this.quotaBook = new QuotaLedger({
+    this.quotaLedger = new QuotaLedger({
       clock,
       terms,
       parts,
@@ -179,12 +179,12 @@
     const listSilentMs = () => this.follower.silentMs();
     const listSteadyMs = () => this.follower.steadyMs();
     const loadOf = (id: UpstreamId) => this.fleet.load(id, clock.nowMs());
-    const promptsPerPause = (service: ServiceId) => this.fleet.promptsPerGap(service);
+    const promptsPerGap = (service: ServiceId) => this.fleet.promptsPerGap(service);
     const limitOf = (upstream: Upstream) => this.gate.limitOf(upstream);
-    const reading = { listSilentMs, listSteadyMs, loadOf, limitOf, promptsPerPause };
+    const reading = { listSilentMs, listSteadyMs, loadOf, limitOf, promptsPerGap };
     this.dispatcher = new OrderDispatcher({ ...shared, ...reading, lease: this.orderLease });
     this.poisonPrefix = `${codec.ownPrefix}poison/`;
-    this.poison = this.poisonDesk();
+    this.poison = this.createPoisonGuard();
     this.reporter = new Reporter({
       host,
       clock,
@@ -196,7 +196,7 @@
       dispatcher: this.dispatcher,
       poison: this.poison,
       quota: this.quota,
-      quotaBook: this.quotaBook,
+      quotaLedger: this.quotaLedger,
       gate: this.gate,
       peers: () => this.peers,
       hasCustomers: () => this.table?.access !== undefined,
@@ -205,20 +205,20 @@
       trial: (...args: Parameters<PoisonGuard['decideTrial']>) => this.poison.decideTrial(...args),
       suspects: () => this.poison.list(),
       lift: (...args: Parameters<PoisonGuard['lift']>) => this.poison.lift(...args),
-      find: (need: Target) => this.dispatcher.find(need),
+      find: (target: Target) => this.dispatcher.find(target),
       demand: (report: DemandReport) => this.reporter.answer(report),
       customers: () =>
-        this.table?.access && listCustomers(this.table.access, this.quota, this.quotaBook),
-      draw: (question: DrawRequest) => this.quotaBook.draw(question),
-      slot: (question: SlotRequest) => this.gate.answer(question),
+        this.table?.access && listCustomers(this.table.access, this.quota, this.quotaLedger),
+      draw: (request: DrawRequest) => this.quotaLedger.draw(request),
+      slot: (request: SlotRequest) => this.gate.answer(request),
       swap: (swap: Swap) => feed.swap(swap),
-      changes: (question: Parameters<SharedFeed['answer']>[0]) => this.shared.answer(question),
+      changes: (request: Parameters<SharedFeed['answer']>[0]) => this.shared.answer(request),
     };
     this.peers = new Peers(handlers, clock, log);
-    const ask = (need: Target) => this.askHolder(need);
+    const ask = (target: Target) => this.findTarget(target);
     const ordersInMs = () => this.orderLease.takeoverInMs();
-    const seeking = { clock, log, fleet: this.fleet, meter: this.meter };
-    this.seeker = new Seeker({ ...seeking, ask, ordersInMs });
+    const finderOptions = { clock, log, fleet: this.fleet, meter: this.meter };
+    this.targetFinder = new TargetFinder({ ...finderOptions, ask, ordersInMs });
   }
 
   async start(): Promise<void> {
@@ -255,15 +255,15 @@
     intake.start();
   }
 
-  judge(request: Caller['request']): AccessDecision | undefined {
+  decideAccess(request: Caller['request']): AccessDecision | undefined {
     if (!this.table) return undefined;
-    const judged = decideAccess(this.table, request);
-    return this.isOutdated(judged) ? { type: 'outdated' } : judged;
+    const decision = decideAccess(this.table, request);
+    return this.isOutdated(decision) ? { type: 'outdated' } : decision;
   }
 
-  private isOutdated(judged: AccessDecision): boolean {
+  private isOutdated(decision: AccessDecision): boolean {
     // A key that was added while the store could not be read is unknown here but valid.
-    if (judged.type === 'key-unknown') return this.follower.silentMs() > 0;
+    if (decision.type === 'key-unknown') return this.follower.silentMs() > 0;
     const { strictRevokeMs } = this.context.settings;
     if (strictRevokeMs === undefined || !this.table?.access) return false;
     return this.follower.knownAgeMs() > strictRevokeMs;
@@ -323,28 +323,30 @@
     return Math.max(MIN_CONNECTIONS, Math.floor(maxConnections / shares));
   }
 
-  seek(...args: Parameters<Serving['seek']>): ReturnType<Serving['seek']> {
-    return this.seeker.seek(...args);
+  waitForTarget(
+    ...args: Parameters<Serving['waitForTarget']>
+  ): ReturnType<Serving['waitForTarget']> {
+    return this.targetFinder.waitForTarget(...args);
   }
 
   isReturn(route: Route, deadlineMs: Ms | undefined): boolean {
     return this.returnDetector.isReturn(route.name, deadlineMs);
   }
 
-  arrived(need: Target): void {
-    this.meter.arrived(need);
+  arrived(target: Target): void {
+    this.meter.arrived(target);
   }
 
-  waiting(need: Target, change: 1 | -1): void {
-    this.meter.waiting(need, change);
+  waiting(target: Target, change: 1 | -1): void {
+    this.meter.waiting(target, change);
   }
 
-  began(need: Target): void {
-    this.meter.began(need);
+  began(target: Target): void {
+    this.meter.began(target);
   }
 
-  left(need: Target, tookMs: Ms): void {
-    this.meter.ended(need, tookMs);
+  left(target: Target, tookMs: Ms): void {
+    this.meter.ended(target, tookMs);
   }
 
   ended(end: string, route: Route | undefined, tookMs: Ms): void {
@@ -363,7 +365,7 @@
   setTable(table: RouteTable): void {
     this.table = table;
     this.dispatcher.table = table;
-    this.quotaBook.limit(table.access);
+    this.quotaLedger.limit(table.access);
   }
 
   upstream(listed: Upstream): void {
@@ -389,7 +391,7 @@
     this.upstream(upstream);
   }
 
-  own(key: string, item: KeyValue | undefined): void {
+  ownKeyChanged(key: string, item: KeyValue | undefined): void {
     if (key === this.orderLeaseKey) this.orderLease.heard(item);
     else if (key.startsWith(this.poisonPrefix)) this.poison.stored(key, item);
   }
@@ -414,7 +416,7 @@
     if (this.hasState && !this.isStopping && isDue) this.orderLease.tick();
     this.dispatcher.tick();
     this.poison.tick();
-    this.quotaBook.tick();
+    this.quotaLedger.tick();
     const endedAtMs = this.clock.nowMs();
     if (endedAtMs - nowMs > STALL_MS) this.resumed(endedAtMs);
   }
@@ -434,7 +436,7 @@
     metrics.gauge('direct.upstreams_limited', this.gate.limitedCount());
   }
 
-  private upstreamGate(): UpstreamGate {
+  private createUpstreamGate(): UpstreamGate {
     const { settings, clock, log, metrics } = this.context;
     return new UpstreamGate({
       entry: settings.host,
@@ -442,7 +444,7 @@
       log,
       metrics,
       share: () => this.slotShare(),
-      draw: (question) => this.drawSlot(question),
+      draw: (request) => this.drawSlot(request),
       recentSends: (id) => this.fleet.recentSends(id, clock.nowMs()),
       heard: () => this.reporter.reportSoon(),
       upstreamLeaving: (id) => {
@@ -458,13 +460,13 @@
     return this.orderLease.isHolder() ? rateRules.lapsedShare : 0;
   }
 
-  private async drawSlot(question: SlotRequest): Promise<SlotAnswer | undefined> {
-    if (this.orderLease.isHolder()) return this.gate.answer(question);
+  private async drawSlot(request: SlotRequest): Promise<SlotAnswer | undefined> {
+    if (this.orderLease.isHolder()) return this.gate.answer(request);
     const address = this.orderLease.holderAddress();
-    return address === undefined ? undefined : this.peers.slot(address, question);
+    return address === undefined ? undefined : this.peers.slot(address, request);
   }
 
-  private poisonDesk(): PoisonGuard {
+  private createPoisonGuard(): PoisonGuard {
     const { settings, clock, log, metrics, feed } = this.context;
     return new PoisonGuard({
       host: settings.host,
@@ -480,9 +482,9 @@
         return isUndone ? this.relay(swap) : outcome;
       },
       isHolder: () => this.orderLease.isHolder(),
-      requestTrial: async (question) => {
+      requestTrial: async (request) => {
         const address = this.orderLease.holderAddress();
-        return address === undefined ? undefined : this.peers.trial(address, question);
+        return address === undefined ? undefined : this.peers.trial(address, request);
       },
       reportSoon: () => this.reporter.reportSoon(),
       upstreamCount: (service) => [...this.fleet.upstreamsOf(service)].length,
@@ -501,18 +503,18 @@
     return Promise.resolve(result.Err({ type: 'store-unavailable' as const, detail }));
   }
 
-  private async askHolder(need: Target): Promise<FindAnswer | undefined> {
-    if (this.orderLease.isHolder()) return this.dispatcher.find(need);
+  private async findTarget(target: Target): Promise<FindAnswer | undefined> {
+    if (this.orderLease.isHolder()) return this.dispatcher.find(target);
     const address = this.orderLease.holderAddress();
     if (address === undefined) return undefined;
-    const found = await this.peers.find(address, need);
+    const found = await this.peers.find(address, target);
     return found?.type === 'not-holder' ? undefined : found;
   }
 
-  private async draw(question: DrawRequest): Promise<DrawAnswer | undefined> {
-    if (this.orderLease.isHolder()) return this.quotaBook.draw(question);
+  private async draw(request: DrawRequest): Promise<DrawAnswer | undefined> {
+    if (this.orderLease.isHolder()) return this.quotaLedger.draw(request);
     const address = this.orderLease.holderAddress();
-    return address === undefined ? undefined : this.peers.draw(address, question);
+    return address === undefined ? undefined : this.peers.draw(address, request);
   }
 
   private run(admitted: Admitted): void {
@@ -531,7 +533,7 @@
   /** Returns the number of entries; a new holder uses at least the recorded one until all have reported to it. */
   private knownCount(): number {
     const heard = this.entries.count(this.clock.nowMs());
-    return this.quotaBook.knowsAllEntries()
+    return this.quotaLedger.knowsAllEntries()
       ? heard
       : Math.max(heard, this.orderLease.recordedEntries?.count ?? 0);
   }
--- a/src/direct/intake/intake.ts
+++ b/src/direct/intake/intake.ts
@@ -41,12 +41,12 @@
   start(): void {
     const { serving, caller } = this;
     const { request } = caller;
-    const judged = serving.judge(request);
-    if (!judged || judged.type !== 'allowed') {
-      this.refuseAs(judged?.type ?? 'no-configuration');
+    const decision = serving.decideAccess(request);
+    if (!decision || decision.type !== 'allowed') {
+      this.refuseAs(decision?.type ?? 'no-configuration');
       return;
     }
-    const { route, customer } = judged;
+    const { route, customer } = decision;
     const charge = new Charge(serving.quota, serving.clock, customer, request.tokens);
     this.charge = charge;
     const admitted = { caller, route, customer, charge };
--- a/src/direct/orders/demandmeter.ts
+++ b/src/direct/orders/demandmeter.ts
@@ -25,29 +25,29 @@
     private readonly address: string,
   ) {}
 
-  arrived(need: Target): void {
-    const counts = this.countsOf(need);
+  arrived(target: Target): void {
+    const counts = this.countsOf(target);
     if (!counts) return;
     counts.arrivals += 1;
-    if (need.adapter !== undefined) counts.adapters.add(need.adapter);
+    if (target.adapter !== undefined) counts.adapters.add(target.adapter);
   }
 
   /** Counts a request that was sent to an upstream. */
-  began(need: Target): void {
-    this.changed(need, 1);
+  began(target: Target): void {
+    this.changed(target, 1);
   }
 
   /** Counts a request that ended after `tookMs` at an upstream. */
-  ended(need: Target, tookMs: Ms): void {
-    const counts = this.changed(need, -1);
+  ended(target: Target, tookMs: Ms): void {
+    const counts = this.changed(target, -1);
     if (!counts) return;
     counts.ended += 1;
     counts.endedMs += tookMs;
   }
 
-  private changed(need: Target, change: 1 | -1): Counts | undefined {
-    const counts = this.countsOf(need);
-    if (counts) this.change(counts, need, change);
+  private changed(target: Target, change: 1 | -1): Counts | undefined {
+    const counts = this.countsOf(target);
+    if (counts) this.change(counts, target, change);
     return counts;
   }
 
@@ -60,8 +60,8 @@
     else counts.runningByAdapter.delete(adapter);
   }
 
-  waiting(need: Target, change: 1 | -1): void {
-    const counts = this.countsOf(need);
+  waiting(target: Target, change: 1 | -1): void {
+    const counts = this.countsOf(target);
     if (counts) counts.waiting += change;
   }
 
--- a/src/direct/orders/orderdispatcher.ts
+++ b/src/direct/orders/orderdispatcher.ts
@@ -40,8 +40,8 @@
   readonly loadOf: (upstream: UpstreamId) => number;
   /** Requests per second that an upstream accepts from all entries; undefined for one without a limit. */
   readonly limitOf: (upstream: Upstream) => number | undefined;
-  /** Prompts that a service's engines can read within a pause between tokens that still meets its target. */
-  readonly promptsPerPause: (service: ServiceId) => number | undefined;
+  /** Prompts that a service's engine can prefill within one target token gap; undefined if not yet measured. */
+  readonly promptsPerGap: (service: ServiceId) => number | undefined;
 }
 
 type Engine = NonNullable<ServiceSpec['engine']>;
@@ -213,18 +213,18 @@
   }
 
   /** Finds an upstream for a target, loading an adapter if necessary; else returns when to ask again. */
-  async find(need: Target): Promise<FindAnswer> {
+  async find(target: Target): Promise<FindAnswer> {
     const { lease, clock } = this.options;
     if (!lease.isHolder()) return { type: 'not-holder' };
-    const { service, model, adapter } = need;
+    const { service, model, adapter } = target;
     const engine = this.table?.services.get(service)?.engine;
-    if (model === undefined || !engine) return this.later(need);
+    if (model === undefined || !engine) return this.later(target);
     const replicas = this.withoutLimit(this.replicas(service, model));
-    if (replicas.length === 0) return this.later(need);
+    if (replicas.length === 0) return this.later(target);
     if (adapter === undefined) return { type: 'ready', upstream: replicas[0]!.info.id };
     this.book.adapterUsed(model, adapter, clock.nowMs());
     const loaded = replicas.find((view) => view.models.get(model)!.adapters.has(adapter));
-    if (!loaded && !lease.mayOrder()) return this.later(need);
+    if (!loaded && !lease.mayOrder()) return this.later(target);
     return this.answerInTime(
       this.adapters.ensureLoaded(
         () => this.withoutLimit(this.replicas(service, model)),
@@ -310,8 +310,8 @@
     }
     const coldLoadsLeft = this.budget.left(engine.loadsPerSecond, nowMs);
     const demand = this.book.estimate(service, nowMs, (model) => ready.has(model));
-    const promptsPerPause = this.options.promptsPerPause(service);
-    return { engine, upstreams, demand, isDemandKnown, coldLoadsLeft, promptsPerPause };
+    const promptsPerGap = this.options.promptsPerGap(service);
+    return { engine, upstreams, demand, isDemandKnown, coldLoadsLeft, promptsPerGap };
   }
 
   /** Starts a move of a plan, unless the state that it is based on has changed. */
--- a/src/direct/orders/orderleasekeeper.ts
+++ b/src/direct/orders/orderleasekeeper.ts
@@ -58,7 +58,7 @@
 
   private isStopped = false;
 
-  private pausedUntilMs: Ms = 0;
+  private retryAtMs: Ms = 0;
 
   private readonly startedAtMs: Ms;
 
@@ -149,7 +149,7 @@
   /** Writes a takeover or renewal if one is due. Called several times a second. */
   tick(): void {
     const nowMs = this.options.clock.nowMs();
-    if (this.isWriting || this.isStopped || nowMs < this.pausedUntilMs) return;
+    if (this.isWriting || this.isStopped || nowMs < this.retryAtMs) return;
     // The takeover delay applies to the very first lease as well.
     if (!this.state.seen && nowMs < this.startedAtMs + this.options.delayMs) return;
     const write = nextLeaseWrite(this.state, nowMs);
@@ -223,7 +223,7 @@
   private async writeFailed(write: LeaseWrite, failure: string): Promise<void> {
     const { feed, key, clock, log } = this.options;
     log.warn('order turn not written', { write: write.type, failure });
-    this.pausedUntilMs = clock.nowMs() + RETRY_DELAY_MS;
+    this.retryAtMs = clock.nowMs() + RETRY_DELAY_MS;
     if (failure !== 'store-outcome-unknown') return;
     if (write.type === 'take') {
       const notBeforeMs = Math.max(this.state.notBeforeMs, write.ordersFromMs);
--- a/src/direct/orders/peers.ts
+++ b/src/direct/orders/peers.ts
@@ -13,18 +13,18 @@
 
 /** Requests that other entries may send to this one. */
 interface PeerHandlers {
-  find(need: Target): Promise<FindAnswer>;
+  find(target: Target): Promise<FindAnswer>;
   demand(report: DemandReport): DemandAnswer;
   /** Returns the store's changes after a revision, waiting for one for at most `waitMs`. */
-  changes(question: ChangesRequest): ReturnType<ChangeFeed['changes']>;
+  changes(request: ChangesRequest): ReturnType<ChangeFeed['changes']>;
   /** Performs a write for an entry that cannot reach the store. */
   swap(swap: Swap): ReturnType<ChangeFeed['swap']>;
   /** Grants tokens of a customer's quota for one request. */
-  draw(question: DrawRequest): DrawAnswer;
+  draw(request: DrawRequest): DrawAnswer;
   /** Grants a slot: a time at which a request may be sent to an upstream with a rate limit. */
-  slot(question: SlotRequest): Promise<SlotAnswer>;
+  slot(request: SlotRequest): Promise<SlotAnswer>;
   /** True if a suspected query of death may run as a trial at another entry now. */
-  trial(question: TrialRequest): boolean;
+  trial(request: TrialRequest): boolean;
   /** Returns customers, their limits and their use, for an operator. */
   customers(): readonly CustomerState[] | undefined;
   /** Returns suspected queries of death, for an operator. */
@@ -123,8 +123,8 @@
   }
 
   /** Returns undefined if the entry does not answer. */
-  async find(address: string, need: Target): Promise<FindAnswer | undefined> {
-    return (await this.ask(address, PATHS.find, need, FIND_TIMEOUT_MS)) as FindAnswer | undefined;
+  async find(address: string, target: Target): Promise<FindAnswer | undefined> {
+    return (await this.ask(address, PATHS.find, target, FIND_TIMEOUT_MS)) as FindAnswer | undefined;
   }
 
   /** Returns undefined if the entry does not answer. */
@@ -134,30 +134,30 @@
   }
 
   /** Returns undefined if the entry does not answer. */
-  async trial(address: string, question: TrialRequest): Promise<boolean | undefined> {
-    const answer = await this.ask(address, PATHS.trial, question, TRIAL_TIMEOUT_MS);
+  async trial(address: string, request: TrialRequest): Promise<boolean | undefined> {
+    const answer = await this.ask(address, PATHS.trial, request, TRIAL_TIMEOUT_MS);
     return (answer as { mayRun: boolean } | undefined)?.mayRun;
   }
 
   /** Returns undefined if the entry does not answer. */
-  async draw(address: string, question: DrawRequest): Promise<DrawAnswer | undefined> {
-    const answer = await this.ask(address, PATHS.draw, question, DRAW_TIMEOUT_MS);
+  async draw(address: string, request: DrawRequest): Promise<DrawAnswer | undefined> {
+    const answer = await this.ask(address, PATHS.draw, request, DRAW_TIMEOUT_MS);
     return answer as DrawAnswer | undefined;
   }
 
   /** Returns undefined if the entry does not answer. */
-  async slot(address: string, question: SlotRequest): Promise<SlotAnswer | undefined> {
-    const answer = await this.ask(address, PATHS.slot, question, question.waitMs + DRAW_TIMEOUT_MS);
+  async slot(address: string, request: SlotRequest): Promise<SlotAnswer | undefined> {
+    const answer = await this.ask(address, PATHS.slot, request, request.waitMs + DRAW_TIMEOUT_MS);
     return answer as SlotAnswer | undefined;
   }
 
   /** Returns the store's changes as another entry has read them; undefined if it does not answer. */
   async changes(
     address: string,
-    question: ChangesRequest,
+    request: ChangesRequest,
   ): Promise<Awaited<ReturnType<ChangeFeed['changes']>> | undefined> {
-    const timeoutMs = question.waitMs + CHANGES_MARGIN_MS;
-    const answer = await this.ask(address, PATHS.changes, question, timeoutMs);
+    const timeoutMs = request.waitMs + CHANGES_MARGIN_MS;
+    const answer = await this.ask(address, PATHS.changes, request, timeoutMs);
     const relayed = answer as RelayedChanges | undefined;
     if (!relayed) return undefined;
     return relayed.ok ? result.Ok(relayed.changes) : result.Err(relayed.failure);
--- a/src/direct/plannedstop.ts
+++ b/src/direct/plannedstop.ts
@@ -19,7 +19,7 @@
 /** Options of a planned stop. */
 interface PlannedStopOptions {
   readonly entry: DirectEntry;
-  readonly door: CallerServer;
+  readonly server: CallerServer;
   readonly graceMs: Ms;
   readonly clock: Clock;
   readonly log: Log;
@@ -31,12 +31,12 @@
 
 /** Actions at the start of each phase. */
 const BEGIN: Readonly<Record<Phase, (options: PlannedStopOptions, startedAtMs: Ms) => void>> = {
-  listening: ({ entry, door, graceMs }, startedAtMs) => {
+  listening: ({ entry, server, graceMs }, startedAtMs) => {
     entry.retire();
-    door.leave(startedAtMs + acceptRequestsMs(graceMs));
+    server.leave(startedAtMs + acceptRequestsMs(graceMs));
     void entry.release();
   },
-  finishing: ({ door }) => door.shut(),
+  finishing: ({ server }) => server.shut(),
   refusing: ({ entry }) => entry.stopWaiting(),
   ending: ({ entry }) => entry.endAll(),
   over: () => {},
@@ -50,7 +50,7 @@
  * which waited for a model, got none.
  */
 export async function plannedStop(options: PlannedStopOptions): Promise<void> {
-  const { entry, door, graceMs, clock, log } = options;
+  const { entry, server, graceMs, clock, log } = options;
   const startedAtMs = clock.nowMs();
   log.info('stopping', { inFlight: entry.inFlight });
   let startedPhases = 0;
@@ -62,10 +62,10 @@
       BEGIN[ORDER[startedPhases]!](options, startedAtMs);
     }
     const { inFlight } = entry;
-    const { unwritten } = door;
-    const connections = await door.connections();
+    const { unwritten } = server;
+    const connections = await server.connections();
     const isQuiet = inFlight === 0 && unwritten === 0;
-    const isShut = !door.isListening;
+    const isShut = !server.isListening;
     const isDone = isQuiet && isShut && (phase === 'ending' || connections === 0);
     if (isDone || phase === 'over') {
       log.info('stopped', { phase, inFlight, unwritten, connections, tookMs: Math.round(tookMs) });
--- a/src/direct/quota/quotaclient.ts
+++ b/src/direct/quota/quotaclient.ts
@@ -14,7 +14,7 @@
   /** Number of equal parts of a rate, used until a holder has sent its own number. */
   readonly parts: () => number;
   /** Asks the holder for quota; undefined without an answer. */
-  readonly draw: (question: DrawRequest) => Promise<DrawAnswer | undefined>;
+  readonly draw: (request: DrawRequest) => Promise<DrawAnswer | undefined>;
 }
 
 const PAID: PaymentResult = { type: 'paid' };
--- a/src/direct/reporter.ts
+++ b/src/direct/reporter.ts
@@ -28,7 +28,7 @@
   readonly dispatcher: OrderDispatcher;
   readonly poison: PoisonGuard;
   readonly quota: QuotaClient;
-  readonly quotaBook: QuotaLedger;
+  readonly quotaLedger: QuotaLedger;
   readonly gate: UpstreamGate;
   readonly peers: () => Peers;
   /** True if customers are configured. */
@@ -90,7 +90,7 @@
 
   /** Answers another entry's report. */
   answer(report: DemandReport): DemandAnswer {
-    const { clock, entries, dispatcher, poison, quotaBook, gate } = this.options;
+    const { clock, entries, dispatcher, poison, quotaLedger, gate } = this.options;
     const nowMs = clock.nowMs();
     this.others.delete(report.entry);
     this.others.set(report.entry, report.address);
@@ -101,17 +101,17 @@
       entryCount: entries.count(nowMs),
       news: dispatcher.news(report.heard),
       poison: report.poison && poison.sync.answer(report.poison),
-      quota: report.quota && quotaBook.report(report.entry as HostId, report.quota),
+      quota: report.quota && quotaLedger.report(report.entry as HostId, report.quota),
       standings: gate.report(),
     };
   }
 
   private reportToSelf(report: DemandReport): void {
-    const { host, clock, dispatcher, quota, quotaBook } = this.options;
+    const { host, clock, dispatcher, quota, quotaLedger } = this.options;
     const sentAtMs: Ms = clock.nowMs();
     dispatcher.demand(report);
     this.applyChanges(dispatcher.news(this.residencyCursor));
-    const answer = report.quota && quotaBook.report(host, report.quota);
+    const answer = report.quota && quotaLedger.report(host, report.quota);
     if (answer) quota.answered(answer, sentAtMs);
   }
 
@@ -135,8 +135,8 @@
     for (const { upstream, model, adapter, isThere } of changes) {
       const state = fleet.get(upstream);
       if (!state) continue;
-      const need = { service: state.info.service, model, adapter };
-      fleet.hint(state, need, isThere, nowMs);
+      const target = { service: state.info.service, model, adapter };
+      fleet.hint(state, target, isThere, nowMs);
     }
   }
 
--- a/src/direct/route/fleet.ts
+++ b/src/direct/route/fleet.ts
@@ -1,7 +1,7 @@
 import type { Ms, ServiceId, UpstreamId } from '../../base/index.js';
 import { initialLimit, engineLimitRules, maxFill, onGap } from '../../core/enginelimit/index.js';
 import { expectedAnswerMs, learnService, mayJoin } from '../../core/plainwait/index.js';
-import { calmTime, isPrefilling, promptPaceRules } from '../../core/promptpace/index.js';
+import { unloadedTimeMs, isPrefilling, promptPaceRules } from '../../core/promptpace/index.js';
 import { rateRules } from '../../core/sharedrate/index.js';
 import type { Upstream } from '../../core/upstreams/index.js';
 import type { Block } from './block.js';
@@ -73,7 +73,7 @@
 
   private readonly byService = new Map<ServiceId, Set<UpstreamState>>();
 
-  private awakeSinceMs: Ms = -Infinity;
+  private resumedAtMs: Ms = -Infinity;
 
   constructor(
     private readonly availabilityZone: string,
@@ -97,11 +97,11 @@
       lostAtMs: -Infinity,
       answeredAtMs: -Infinity,
       failedAtMs: -Infinity,
-      readingCount: 0,
+      prefillCount: 0,
       streamCount: 0,
       eventAtMs: -Infinity,
-      calmGapMs: Infinity,
-      calmFirstMs: Infinity,
+      unloadedGapMs: Infinity,
+      unloadedFirstEventMs: Infinity,
       gapTargetMs: Infinity,
       serviceMs: Infinity,
       limit: initialLimit(),
@@ -242,14 +242,14 @@
 
   /** Notes that the event loop was stalled until now, so that missing events are not held against upstreams. */
   resumed(nowMs: Ms): void {
-    this.awakeSinceMs = nowMs;
+    this.resumedAtMs = nowMs;
   }
 
   /** Returns true if several streams run there and none has had an event for longer than their gaps may last. */
   private isSilent({ streamCount, eventAtMs, gapTargetMs }: UpstreamState, nowMs: Ms): boolean {
     if (streamCount < SILENT_STREAMS) return false;
     const silentMs = Math.max(MIN_SILENT_MS, gapTargetMs * SILENT_GAPS);
-    return nowMs - Math.max(eventAtMs, this.awakeSinceMs) > silentMs;
+    return nowMs - Math.max(eventAtMs, this.resumedAtMs) > silentMs;
   }
 
   /** Returns the upstreams that this entry takes for lost now. */
@@ -277,8 +277,8 @@
 
   /** Records the time from sending a request to the first event of its stream. */
   recordFirstEvent(state: UpstreamState, tookMs: Ms, nowMs: Ms): void {
-    const calmFirstMs = calmTime(state.calmFirstMs, tookMs);
-    Object.assign(state, { eventAtMs: nowMs, calmFirstMs });
+    const unloadedFirstEventMs = unloadedTimeMs(state.unloadedFirstEventMs, tookMs);
+    Object.assign(state, { eventAtMs: nowMs, unloadedFirstEventMs });
   }
 
   /** Records the gap between two events of a stream. Returns true if it has reduced the engine's limit. */
@@ -286,7 +286,7 @@
     const draft = state;
     draft.eventAtMs = nowMs;
     draft.gapTargetMs = targetMs;
-    draft.calmGapMs = calmTime(state.calmGapMs, gapMs);
+    draft.unloadedGapMs = unloadedTimeMs(state.unloadedGapMs, gapMs);
     const before = state.limit;
     draft.limit = onGap(before, { gapMs, targetMs, fill: this.utilization(state, nowMs) }, nowMs);
     return draft.limit !== before;
@@ -318,18 +318,18 @@
   promptsPerGap(service: ServiceId): number | undefined {
     let sum = 0;
     let count = 0;
-    for (const { calmFirstMs, gapTargetMs } of this.upstreamsOf(service)) {
-      if (!Number.isFinite(calmFirstMs) || !Number.isFinite(gapTargetMs)) continue;
-      sum += gapTargetMs / Math.max(1, calmFirstMs);
+    for (const { unloadedFirstEventMs, gapTargetMs } of this.upstreamsOf(service)) {
+      if (!Number.isFinite(unloadedFirstEventMs) || !Number.isFinite(gapTargetMs)) continue;
+      sum += gapTargetMs / Math.max(1, unloadedFirstEventMs);
       count += 1;
     }
     return count === 0 ? undefined : sum / count;
   }
 
   /** Returns true if an engine is processing prompts now, as far as this entry can see. */
-  isReading(state: UpstreamState, gapTargetMs: Ms, nowMs: Ms): boolean {
-    if (this.awakeSinceMs <= state.eventAtMs) return isPrefilling(state, gapTargetMs, nowMs);
-    return isPrefilling({ ...state, eventAtMs: this.awakeSinceMs }, gapTargetMs, nowMs);
+  isPrefilling(state: UpstreamState, gapTargetMs: Ms, nowMs: Ms): boolean {
+    if (this.resumedAtMs <= state.eventAtMs) return isPrefilling(state, gapTargetMs, nowMs);
+    return isPrefilling({ ...state, eventAtMs: this.resumedAtMs }, gapTargetMs, nowMs);
   }
 
   /** Returns the fraction of an upstream's slots that is in use; above 1, requests wait there. */
@@ -350,7 +350,7 @@
     const zone = info.availabilityZone === this.availabilityZone ? 0 : ZONE_COST;
     const avoided = state.avoidUntilMs > nowMs ? 1 + FAILURE_COST : 0;
     const full = this.isFull(state, false, nowMs) ? FULL_COST : 0;
-    const isBusy = this.isReading(state, state.gapTargetMs, nowMs);
+    const isBusy = this.isPrefilling(state, state.gapTargetMs, nowMs);
     return (
       full +
       (isBusy ? promptPaceRules.prefillCost : 0) +
--- a/src/direct/route/upstreamstate.ts
+++ b/src/direct/route/upstreamstate.ts
@@ -22,15 +22,15 @@
   answeredAtMs: Ms;
   failedAtMs: Ms;
   /** Requests of this entry whose first event has not arrived: their prompts are being processed, or wait for it. */
-  readingCount: number;
+  prefillCount: number;
   /** Streams of this entry that have begun there and not ended. */
   streamCount: number;
   /** When an event of one of these streams last arrived. */
   eventAtMs: Ms;
   /** Time between two events of a stream while few prompts are processed there. */
-  calmGapMs: Ms;
+  unloadedGapMs: Ms;
   /** Time to the first event of a stream under the same condition. */
-  calmFirstMs: Ms;
+  unloadedFirstEventMs: Ms;
   /** Longest gap between events that the target latency of its streams allows, as of the last event. */
   gapTargetMs: Ms;
   /** Service time of one request at a plain upstream; Infinity until one was answered. */
--- a/src/direct/run/attempt.ts
+++ b/src/direct/run/attempt.ts
@@ -9,7 +9,7 @@
 import type { Suspicion } from './suspicion.js';
 
 type Head = Parameters<UpstreamReceiver['head']>[0];
-type Call = Omit<Parameters<UpstreamLink['send']>[0], 'mayLeave'>;
+type Call = Omit<Parameters<UpstreamLink['send']>[0], 'maySend'>;
 type Sent = NonNullable<ReturnType<UpstreamLink['send']>>;
 type Failure = Parameters<UpstreamReceiver['failed']>[0];
 
@@ -22,7 +22,7 @@
   readonly target: Target;
   readonly state: UpstreamState;
   /** Returns true if the request, for which the upstream was chosen at `chosenAtMs`, may still be sent there. */
-  readonly mayLeave: (chosenAtMs: Ms) => boolean;
+  readonly maySend: (chosenAtMs: Ms) => boolean;
   /** Called once, when the attempt is over. */
   readonly over: (end: AttemptEnd | { readonly type: 'answered' }) => void;
 }
@@ -48,7 +48,7 @@
   private lastEventAtMs: Ms | undefined;
 
   /** True for a stream whose first event has not arrived. */
-  private isReading = false;
+  private isPrefilling = false;
 
   constructor(private readonly options: AttemptOptions) {}
 
@@ -59,8 +59,8 @@
     const nowMs = clock.nowMs();
     fleet.recordSend(state, nowMs, call.requestId);
     let isChosenNow = true;
-    const mayLeave = () => isChosenNow || this.options.mayLeave(nowMs);
-    this.sent = link.send({ ...call, mayLeave }, this.receiver());
+    const maySend = () => isChosenNow || this.options.maySend(nowMs);
+    this.sent = link.send({ ...call, maySend }, this.receiver());
     isChosenNow = false;
     if (!this.sent) {
       this.note('no-connection');
@@ -73,14 +73,14 @@
     this.sentAtMs = nowMs;
     this.sentLoad = fleet.load(state.info.id, nowMs);
     state.inFlight += 1;
-    this.isReading = route.kind === 'streaming';
-    if (this.isReading) state.readingCount += 1;
+    this.isPrefilling = route.kind === 'streaming';
+    if (this.isPrefilling) state.prefillCount += 1;
     serving.began(target);
   }
 
   /** Cancels the attempt. Returns true if the upstream may have run it. */
   withdraw(outcome: string): boolean {
-    const mayHaveRun = this.sent?.hasLeft ?? false;
+    const mayHaveRun = this.sent?.isSent ?? false;
     this.note(outcome);
     this.leave();
     this.sent?.cancel();
@@ -147,10 +147,10 @@
     const nowMs = serving.clock.nowMs();
     const { lastEventAtMs } = this;
     this.lastEventAtMs = nowMs;
-    if (this.isReading) {
+    if (this.isPrefilling) {
       state.streamCount += 1;
-      state.readingCount -= 1;
-      this.isReading = false;
+      state.prefillCount -= 1;
+      this.isPrefilling = false;
       fleet.recordFirstEvent(state, nowMs - this.sentAtMs, nowMs);
     }
     if (lastEventAtMs === undefined) return;
@@ -230,9 +230,9 @@
     const { serving, state, target } = this.options;
     this.isUnderWay = false;
     state.inFlight -= 1;
-    if (this.isReading) state.readingCount -= 1;
+    if (this.isPrefilling) state.prefillCount -= 1;
     else if (this.lastEventAtMs !== undefined) state.streamCount -= 1;
-    this.isReading = false;
+    this.isPrefilling = false;
     serving.left(target, serving.clock.nowMs() - this.sentAtMs);
   }
 }
--- a/src/direct/run/run.ts
+++ b/src/direct/run/run.ts
@@ -26,7 +26,7 @@
 /** Interval between checks for capacity. */
 const CAPACITY_CHECK_MS = 20;
 /** Bound of the searches by one request: an upstream reported as ready may refuse, and may then be found again. */
-const MAX_SEEKS = 4;
+const MAX_TARGET_WAITS = 4;
 /** Number of hash values. */
 const HASH_RANGE = 2 ** 32;
 /** Delay before upstreams that refused are tried again; a few runs end within it. */
@@ -74,9 +74,9 @@
   private isOver = false;
 
   /** True once the order lease holder has been asked for an upstream that holds the target. */
-  private hasSought = false;
+  private hasWaitedForTarget = false;
 
-  private seekCount = 0;
+  private targetWaitCount = 0;
 
   private readonly suspicion: Suspicion;
 
@@ -180,12 +180,12 @@
       return;
     }
     // The configuration may have changed while the request waited.
-    const judged = serving.judge(request);
-    if (judged?.type !== 'allowed') {
-      this.withdrawn(judged?.type ?? 'outdated');
+    const decision = serving.decideAccess(request);
+    if (decision?.type !== 'allowed') {
+      this.withdrawn(decision?.type ?? 'outdated');
       return;
     }
-    const { route } = judged;
+    const { route } = decision;
     this.route = route;
     if (!this.admitted.charge.covers(this.ranCount)) {
       void this.payAgain();
@@ -199,7 +199,7 @@
     }
     const nowMs = clock.nowMs();
     // A request without a model has no alternative to an upstream that may be lost; a model can be loaded elsewhere.
-    const includesLost = request.model === undefined || this.hasSought;
+    const includesLost = request.model === undefined || this.hasWaitedForTarget;
     const { isTrial } = this.suspicion;
     const requestId = request.id;
     const choosing = { tried: this.tried, includesLost, isTrial, requestId };
@@ -212,7 +212,7 @@
     else if (state) this.send(state, route);
     else if (block && !this.mayBeLoaded()) this.waitForSlot(block);
     else if (this.isHeldByTried(nowMs)) this.tryAgainLater();
-    else if (this.seekCount < MAX_SEEKS) this.seek();
+    else if (this.targetWaitCount < MAX_TARGET_WAITS) this.waitForTarget();
     else this.tryAgainLater();
   }
 
@@ -303,7 +303,7 @@
     if (kind !== 'streaming' || this.reply.hasBegun) return false;
     const heldMs = nowMs - this.caller.request.arrivedAtMs;
     if (heldMs >= targetLatencyMs * promptPaceRules.holdShare) return false;
-    return this.serving.fleet.isReading(state, gapTargetMs, nowMs);
+    return this.serving.fleet.isPrefilling(state, gapTargetMs, nowMs);
   }
 
   private pace(): void {
@@ -326,7 +326,7 @@
 
   /** Returns true if the target can be loaded elsewhere in time: an adapter loads within milliseconds. */
   private mayBeLoaded(): boolean {
-    return this.target!.adapter !== undefined && !this.hasSought;
+    return this.target!.adapter !== undefined && !this.hasWaitedForTarget;
   }
 
   /** Every upstream that holds the target is blocked: waits for a slot while that can be in time, else refuses. */
@@ -345,7 +345,7 @@
       return;
     }
     const ask = {
-      asker: this.caller.request.id,
+      requestId: this.caller.request.id,
       rank: this.urgency.rank,
       waitMs: Math.max(0, waitMs - rateRules.minUsableMs),
     };
@@ -401,7 +401,7 @@
   }
 
   /** Has the target found or loaded: no known upstream holds it. */
-  private seek(): void {
+  private waitForTarget(): void {
     const target = this.target!;
     const { request } = this.caller;
     const nowMs = this.clock.nowMs();
@@ -411,9 +411,9 @@
       targetMs: this.route.targetLatencyMs,
       place: this.place(),
     };
-    this.hasSought = true;
-    this.seekCount += 1;
-    void this.serving.seek(target, waiter).then((found) => {
+    this.hasWaitedForTarget = true;
+    this.targetWaitCount += 1;
+    void this.serving.waitForTarget(target, waiter).then((found) => {
       if (this.isOver) return;
       if (found.type === 'ready') this.attempt();
       else this.giveUp(found.reason, found.detail, found.retryAfterMs);
@@ -424,20 +424,20 @@
     const { serving, reply, suspicion, record } = this;
     const target = this.target!;
     const over = (end: AttemptEnd | { readonly type: 'answered' }) => this.attemptOver(end);
-    const mayLeave = (chosenAtMs: Ms) => this.mayLeave(state, chosenAtMs);
-    const options = { serving, suspicion, reply, record, route, target, state, mayLeave, over };
+    const maySend = (chosenAtMs: Ms) => this.maySend(state, chosenAtMs);
+    const options = { serving, suspicion, reply, record, route, target, state, maySend, over };
     this.tried.add(state.info.id);
     this.current = new Attempt(options);
     this.current.begin(this.callTo(state));
   }
 
   /** Checks again, once a connection is open, what was checked when the upstream was chosen. */
-  private mayLeave(state: UpstreamState, chosenAtMs: Ms): boolean {
+  private maySend(state: UpstreamState, chosenAtMs: Ms): boolean {
     const { serving, admitted, clock } = this;
     const nowMs = clock.nowMs();
     const mayRun =
       nowMs < this.untilMs &&
-      serving.judge(admitted.caller.request)?.type === 'allowed' &&
+      serving.decideAccess(admitted.caller.request)?.type === 'allowed' &&
       admitted.charge.covers(this.ranCount);
     if (mayRun && serving.fleet.maySend(state, chosenAtMs, nowMs)) return true;
     this.log.info('request withheld', {
@@ -450,7 +450,7 @@
     return false;
   }
 
-  private callTo(state: UpstreamState): Omit<Parameters<UpstreamLink['send']>[0], 'mayLeave'> {
+  private callTo(state: UpstreamState): Omit<Parameters<UpstreamLink['send']>[0], 'maySend'> {
     const { caller, serving, reply } = this;
     const { request } = caller;
     const spec = serving.table!.services.get(state.info.service);
--- a/src/direct/selfreport/logreportedstate.ts
+++ b/src/direct/selfreport/logreportedstate.ts
@@ -27,7 +27,7 @@
     log.info(message, { ...fields, ratePerS, before: before.ratePerS, ageMs });
   }
   if (after.isLeaving && !before.isLeaving) log.info('upstream says it leaves', fields);
-  if (after.pausedUntilMs > before.pausedUntilMs) {
-    log.info('upstream pause', { ...fields, forMs: Math.round(after.pausedUntilMs - nowMs) });
+  if (after.backoffUntilMs > before.backoffUntilMs) {
+    log.info('upstream pause', { ...fields, forMs: Math.round(after.backoffUntilMs - nowMs) });
   }
 }
--- a/src/direct/selfreport/slotclient.ts
+++ b/src/direct/selfreport/slotclient.ts
@@ -21,7 +21,7 @@
 }
 
 /** Returns the waiter's key. All waiters without a request share one, so one of them asks the holder at a time. */
-function keyOf({ asker: requestId = '' }: SlotWaiter): string {
+function keyOf({ requestId = '' }: SlotWaiter): string {
   return requestId;
 }
 
@@ -87,7 +87,7 @@
     updated.askedCount -= 1;
     const nowMs = this.options.clock.nowMs();
     if (answer?.type === 'granted') {
-      held.slots.push({ atMs: nowMs, requestId: ask.asker });
+      held.slots.push({ atMs: nowMs, requestId: ask.requestId });
       return;
     }
     const waitMs = answer?.type === 'later' ? answer.inMs : rateRules.minBackoffMs;
--- a/src/direct/selfreport/slotschedule.ts
+++ b/src/direct/selfreport/slotschedule.ts
@@ -8,7 +8,7 @@
 /** The slots of one incarnation of an upstream. */
 interface Schedule {
   readonly startedAtMs: Ms | undefined;
-  readonly heardAtMs: Ms;
+  readonly receivedAtMs: Ms;
   readonly queue: SlotQueue;
   /** Requests that each entry had sent in the window before it learned of the limit. */
   readonly sentBefore: Map<string, number>;
@@ -43,7 +43,7 @@
     schedule.sentBefore.set(entry, news.sentBefore ?? 0);
     let sentCount = 0;
     for (const count of schedule.sentBefore.values()) sentCount += count;
-    schedule.queue.notBefore(firstSlotAtMs(ratePerS, sentCount, schedule.heardAtMs));
+    schedule.queue.notBefore(firstSlotAtMs(ratePerS, sentCount, schedule.receivedAtMs));
   }
 
   /** Forgets an upstream's slots: its limit was lifted or lowered. */
@@ -60,10 +60,10 @@
   private scheduleOf({ upstream, startedAtMs }: ReportedStateUpdate, ratePerS: number): Schedule {
     const known = this.schedules.get(upstream);
     if (known?.startedAtMs === startedAtMs && known) return known;
-    const heardAtMs = this.options.clock.nowMs();
+    const receivedAtMs = this.options.clock.nowMs();
     const lastBeforeMs = this.tookAtMs + rateRules.validMs + slotIntervalMs(ratePerS);
-    const queue = new SlotQueue(this.options, ratePerS, Math.max(heardAtMs, lastBeforeMs));
-    const schedule = { startedAtMs, heardAtMs, queue, sentBefore: new Map<string, number>() };
+    const queue = new SlotQueue(this.options, ratePerS, Math.max(receivedAtMs, lastBeforeMs));
+    const schedule = { startedAtMs, receivedAtMs, queue, sentBefore: new Map<string, number>() };
     this.schedules.set(upstream, schedule);
     return schedule;
   }
--- a/src/direct/selfreport/upstreamgate.ts
+++ b/src/direct/selfreport/upstreamgate.ts
@@ -19,7 +19,7 @@
   /** Fraction of each limit that this process may grant now: 0 unless it is the holder. */
   readonly share: () => number;
   /** Asks the holder for a slot; undefined without an answer. */
-  readonly draw: (question: SlotRequest) => Promise<SlotAnswer | undefined>;
+  readonly draw: (request: SlotRequest) => Promise<SlotAnswer | undefined>;
   /** Returns the number of requests that this entry has sent there in the last window. */
   readonly recentSends: (upstream: UpstreamId) => number;
   /** Called when an answer has changed a state that other entries should learn soon. */
@@ -74,17 +74,17 @@
   // Used when an upstream is chosen.
 
   blockOf(upstream: Upstream, nowMs: Ms, requestId?: string): Block | undefined {
-    const { pausedUntilMs, ratePerS } = this.standings.of(upstream);
-    // A pause blocks the upstream: one that is only ranked last still gets requests whenever the others are busy.
-    if (pausedUntilMs > nowMs) return { reason: 'paused', opensInMs: pausedUntilMs - nowMs };
+    const { backoffUntilMs, ratePerS } = this.standings.of(upstream);
+    // A backoff blocks the upstream: one that is only ranked last still gets requests whenever the others are busy.
+    if (backoffUntilMs > nowMs) return { reason: 'paused', opensInMs: backoffUntilMs - nowMs };
     if (ratePerS === undefined) return undefined;
     const opensInMs = this.client.opensInMs(upstream.id, nowMs, requestId);
     return opensInMs > 0 ? { reason: 'limited', opensInMs } : undefined;
   }
 
   maySend(upstream: Upstream, enteredAtMs: Ms, nowMs: Ms): boolean {
-    const { pausedUntilMs, ratePerS } = this.standings.of(upstream);
-    if (pausedUntilMs > nowMs) return false;
+    const { backoffUntilMs, ratePerS } = this.standings.of(upstream);
+    if (backoffUntilMs > nowMs) return false;
     if (ratePerS === undefined) return true;
     // A slot is valid only briefly, and not after the limit has been lowered.
     const isOfThisLimit = enteredAtMs >= this.standings.limitedAtMs(upstream.id);
@@ -93,8 +93,8 @@
 
   wanted(upstreams: readonly Upstream[], ask: SlotWaiter, nowMs: Ms): void {
     const limited = upstreams.filter((upstream) => {
-      const { ratePerS, pausedUntilMs } = this.standings.of(upstream);
-      return ratePerS !== undefined && pausedUntilMs <= nowMs;
+      const { ratePerS, backoffUntilMs } = this.standings.of(upstream);
+      return ratePerS !== undefined && backoffUntilMs <= nowMs;
     });
     this.client.request(
       limited.map(({ id }) => id),
@@ -134,12 +134,12 @@
   }
 
   /** Answers another entry's request for a slot, or this entry's own. */
-  async answer(question: SlotRequest): Promise<SlotAnswer> {
-    const { entry, news } = question;
+  async answer(request: SlotRequest): Promise<SlotAnswer> {
+    const { entry, news } = request;
     this.take(entry, [news]);
     const { ratePerS } = this.standings.ofIncarnation(news.upstream, news.startedAtMs);
     if (ratePerS === undefined) return { type: 'unlimited' };
-    return this.book.draw(question, ratePerS);
+    return this.book.draw(request, ratePerS);
   }
 
   /** Starts anew as the holder, which grants slots. */
--- a/src/direct/serving.ts
+++ b/src/direct/serving.ts
@@ -11,7 +11,7 @@
 import type { UpstreamGate } from './selfreport/index.js';
 
 /** Whether a request's target was made ready. */
-type SeekResult =
+type TargetResult =
   | { readonly type: 'ready' }
   | {
       readonly type: 'unavailable';
@@ -32,25 +32,28 @@
   readonly table: RouteTable | undefined;
   /** False late in a planned stop: requests not yet sent to an upstream are refused. */
   readonly mayWait: boolean;
-  /** Judges a request by the configuration in force; undefined while there is none. */
-  judge(request: Caller['request']): AccessDecision | undefined;
+  /** Decides whether the configuration in force allows a request; undefined while there is none. */
+  decideAccess(request: Caller['request']): AccessDecision | undefined;
   /** Counts a request that was refused before it was run. */
   refused(reason: string, customer: CustomerSpec | undefined): void;
   budgetOf(service: ServiceId): RetryBudget;
   /** Returns how many connections this entry may open to one upstream. */
   connectionShare(maxConnections: number | undefined): number;
   /** Waits until an upstream has the target loaded, or returns why none will in time. */
-  seek(need: Target, waiter: Omit<ResidencyWait, 'inMs' | 'isUnderWay'>): Promise<SeekResult>;
+  waitForTarget(
+    target: Target,
+    waiter: Omit<ResidencyWait, 'inMs' | 'isUnderWay'>,
+  ): Promise<TargetResult>;
   /** True if the caller was refused before and would give up if refused again. */
   isReturn(route: Route, deadlineMs: Ms | undefined): boolean;
   /** Counts the arrival of a request with this target. */
-  arrived(need: Target): void;
+  arrived(target: Target): void;
   /** Changes the number of requests that wait because no suitable upstream accepts them now. */
-  waiting(need: Target, change: 1 | -1): void;
+  waiting(target: Target, change: 1 | -1): void;
   /** Counts a request that was sent to an upstream. */
-  began(need: Target): void;
+  began(target: Target): void;
   /** Counts a request that ended after `tookMs` at an upstream. */
-  left(need: Target, tookMs: Ms): void;
+  left(target: Target, tookMs: Ms): void;
   /** Counts an attempt at an upstream by its outcome. */
   attempted(outcome: string): void;
   ended(end: string, route: Route | undefined, tookMs: Ms): void;
--- a/src/direct/sync/follower.ts
+++ b/src/direct/sync/follower.ts
@@ -15,7 +15,7 @@
   /** An upstream has restarted under its id: all earlier state of it is void. */
   upstreamRestarted(upstream: Upstream): void;
   /** A key that this system writes has changed; `item` is undefined once it is deleted. */
-  own(key: string, item: KeyValue | undefined): void;
+  ownKeyChanged(key: string, item: KeyValue | undefined): void;
   /** The first full read is done. */
   complete(): void;
 }
@@ -122,7 +122,7 @@
     }
     const keys = new Set(items.map(({ key }) => key));
     for (const key of this.ownKeys) {
-      if (!keys.has(key)) this.ownGone(key);
+      if (!keys.has(key)) this.ownKeyDeleted(key);
     }
     this.revision = revision;
     this.isComplete = true;
@@ -157,7 +157,7 @@
     else if (codec.isTable(item.key)) this.putTable(item);
     else if (item.key.startsWith(codec.ownPrefix)) {
       this.ownKeys.add(item.key);
-      this.listener.own(item.key, item);
+      this.listener.ownKeyChanged(item.key, item);
     }
   }
 
@@ -220,12 +220,12 @@
   private deleted(key: string): void {
     const id = this.codec.upstreamOf(key) as UpstreamId | undefined;
     if (id !== undefined) this.gone(id);
-    else if (key.startsWith(this.codec.ownPrefix)) this.ownGone(key);
+    else if (key.startsWith(this.codec.ownPrefix)) this.ownKeyDeleted(key);
   }
 
-  private ownGone(key: string): void {
+  private ownKeyDeleted(key: string): void {
     this.ownKeys.delete(key);
-    this.listener.own(key, undefined);
+    this.listener.ownKeyChanged(key, undefined);
   }
 
   private gone(id: UpstreamId): void {
--- a/src/direct/seeker.ts
+++ b/src/direct/targetfinder.ts
@@ -5,16 +5,16 @@
 import { has, type Fleet, type Target } from './route/index.js';
 import type { Serving } from './serving.js';
 
-type SeekResult = Awaited<ReturnType<Serving['seek']>>;
+type TargetResult = Awaited<ReturnType<Serving['waitForTarget']>>;
 
-/** Options of a seeker. */
-interface SeekerOptions {
+/** Options of a target finder. */
+interface TargetFinderOptions {
   readonly clock: Clock;
   readonly log: Log;
   readonly fleet: Fleet;
   readonly meter: DemandMeter;
   /** Asks the order lease holder; undefined if it cannot be reached. */
-  ask(need: Target): Promise<FindAnswer | undefined>;
+  ask(target: Target): Promise<FindAnswer | undefined>;
   /** How long until another process may send orders if the holder cannot be reached. */
   ordersInMs(): Ms;
 }
@@ -45,30 +45,30 @@
 }
 
 /** Finds upstreams for requests whose model or adapter is loaded nowhere as far as this entry knows. */
-export class Seeker {
+export class TargetFinder {
   private readonly pending = new Map<string, Promise<FindAnswer | undefined>>();
 
   private readonly recent = new Map<string, RecentAnswer>();
 
-  constructor(private readonly options: SeekerOptions) {}
+  constructor(private readonly options: TargetFinderOptions) {}
 
-  async seek(need: Target, waiter: Waiter): Promise<SeekResult> {
+  async waitForTarget(target: Target, waiter: Waiter): Promise<TargetResult> {
     const { clock, meter } = this.options;
-    if (need.model === undefined) {
-      const detail = `No upstream of ${need.service} can be chosen.`;
+    if (target.model === undefined) {
+      const detail = `No upstream of ${target.service} can be chosen.`;
       return { type: 'unavailable', reason: 'no-upstream', detail };
     }
-    meter.waiting(need, 1);
-    const result = await this.wait(need, waiter, clock.nowMs());
-    meter.waiting(need, -1);
+    meter.waiting(target, 1);
+    const result = await this.wait(target, waiter, clock.nowMs());
+    meter.waiting(target, -1);
     return result;
   }
 
-  private async wait(need: Target, waiter: Waiter, startedAtMs: Ms): Promise<SeekResult> {
+  private async wait(target: Target, waiter: Waiter, startedAtMs: Ms): Promise<TargetResult> {
     const { clock } = this.options;
     for (;;) {
-      const found = await this.ask(need);
-      if (this.isReady(need, found)) return { type: 'ready' };
+      const found = await this.ask(target);
+      if (this.isReady(target, found)) return { type: 'ready' };
       const inMs = found?.type === 'later' ? found.inMs : this.options.ordersInMs() + UNPLANNED_MS;
       const passedMs = clock.nowMs() - startedAtMs;
       const heldMs = waiter.heldMs + passedMs;
@@ -76,47 +76,47 @@
       const isUnderWay = found?.type === 'later' && found.isUnderWay;
       const decision = holdOrRefuse({ ...waiter, inMs, isUnderWay, heldMs, remainingMs });
       if (decision.type === 'refuse') {
-        const detail = `No upstream of ${need.service} holds what the request needs yet.`;
+        const detail = `No upstream of ${target.service} holds what the request needs yet.`;
         const { retryAfterMs } = decision;
         return { type: 'unavailable', reason: 'not-resident', detail, retryAfterMs };
       }
       const untilMs = clock.nowMs() + inMs;
       // At least one delay, also if no time is left: the loop must not block the event loop.
       do await this.pause(POLL_MS);
-      while (clock.nowMs() < untilMs && !this.isLoaded(need));
-      if (this.isLoaded(need)) return { type: 'ready' };
+      while (clock.nowMs() < untilMs && !this.isLoaded(target));
+      if (this.isLoaded(target)) return { type: 'ready' };
     }
   }
 
-  private isReady(need: Target, found: FindAnswer | undefined): boolean {
+  private isReady(target: Target, found: FindAnswer | undefined): boolean {
     if (found?.type === 'ready') {
       const state = this.options.fleet.get(found.upstream);
       if (state && !state.info.isLeaving) {
-        this.options.fleet.hint(state, need, true, this.options.clock.nowMs());
+        this.options.fleet.hint(state, target, true, this.options.clock.nowMs());
         return true;
       }
     }
-    return this.isLoaded(need);
+    return this.isLoaded(target);
   }
 
-  private isLoaded(need: Target): boolean {
+  private isLoaded(target: Target): boolean {
     const { fleet, clock } = this.options;
     const nowMs = clock.nowMs();
-    for (const state of fleet.upstreamsOf(need.service)) {
-      if (!state.info.isLeaving && has(state, need, nowMs)) return true;
+    for (const state of fleet.upstreamsOf(target.service)) {
+      if (!state.info.isLeaving && has(state, target, nowMs)) return true;
     }
     return false;
   }
 
   /** Asks the holder. Requests with the same target share a call and reuse a recent answer. */
-  private ask(need: Target): Promise<FindAnswer | undefined> {
-    const key = `${need.service}/${need.model}/${need.adapter ?? ''}`;
+  private ask(target: Target): Promise<FindAnswer | undefined> {
+    const key = `${target.service}/${target.model}/${target.adapter ?? ''}`;
     const known = this.pending.get(key);
     if (known) return known;
     const nowMs = this.options.clock.nowMs();
     const recent = this.recent.get(key);
     if (recent && nowMs - recent.atMs < REUSE_MS) return Promise.resolve(updated(recent, nowMs));
-    const asking = this.options.ask(need).finally(() => this.pending.delete(key));
+    const asking = this.options.ask(target).finally(() => this.pending.delete(key));
     this.pending.set(key, asking);
     void asking.then((found) => this.remember(key, found));
     return asking;
--- a/src/entry/createentrycontext.ts
+++ b/src/entry/createentrycontext.ts
@@ -29,7 +29,7 @@
     clock,
     credentials: credentials.channel,
     revision: (sidecarAddress) => board.revisionForSidecar(sidecarAddress),
-    sawRevision: (revision, from) => board.observeRevision(revision as Revision, from),
+    observeRevision: (revision, from) => board.observeRevision(revision as Revision, from),
   });
   return { ...drivers, link, board, audit: createAudit(log) };
 }
--- a/src/entry/link/linkoptions.ts
+++ b/src/entry/link/linkoptions.ts
@@ -9,7 +9,7 @@
   /** Returns the revision in force here of the configuration that concerns the sidecar at this address. */
   readonly revision: (sidecarAddress: string) => number;
   /** Called when a sidecar reports another revision in force than before. */
-  readonly sawRevision: (revision: number, fromAddress: string) => void;
+  readonly observeRevision: (revision: number, fromAddress: string) => void;
   /** The connection to a sidecar without requests is closed after this time; one minute by default. */
   readonly idleMs?: number;
 }
--- a/src/entry/link/sidecarstream.ts
+++ b/src/entry/link/sidecarstream.ts
@@ -109,7 +109,7 @@
     if (this.phase === 'opening') this.open();
     if (revision !== this.revision) {
       this.revision = revision;
-      this.options.sawRevision(revision, this.address);
+      this.options.observeRevision(revision, this.address);
     }
     for (const frame of frames) this.waiting.get(frame.requestId)?.receiver.take(frame);
     if (leaving) this.drain();
--- a/src/entry/planner/splitcell.ts
+++ b/src/entry/planner/splitcell.ts
@@ -1,5 +1,5 @@
 import type { ModelId } from '../../base/index.js';
-import { cellsOfModel, cutCells } from '../../core/placement/index.js';
+import { cellsOfModel, splitCells } from '../../core/placement/index.js';
 import type { Cell, PlannerState } from '../../core/planner/index.js';
 
 const MS_PER_SECOND = 1_000;
@@ -18,7 +18,7 @@
  * Splits a region that is too large for one plan into cells. Each model is assigned to as many cells as its demand fills.
  */
 export function splitCell(region: Cell, states: readonly PlannerState[]): readonly Cell[] {
-  const parts = cutCells(region.upstreams);
+  const parts = splitCells(region.upstreams);
   if (parts.length === 1) return [region];
   return parts.map((upstreams, index) => {
     const slots = upstreams.reduce((sum, upstream) => sum + upstream.slots, 0);
--- a/src/port/upstreamlink.ts
+++ b/src/port/upstreamlink.ts
@@ -29,13 +29,13 @@
    * Called right before the first byte is sent, possibly after a connection was opened. If it returns false,
    * nothing is sent.
    */
-  readonly mayLeave: () => boolean;
+  readonly maySend: () => boolean;
 }
 
 /** A request that was passed to the link. */
 interface SentRequest {
   /** False until the first byte of the request has left this process. */
-  readonly hasLeft: boolean;
+  readonly isSent: boolean;
   cancel(): void;
   resume(): void;
 }
@@ -82,8 +82,8 @@
 export interface UpstreamLink {
   /** Sends a request. Returns undefined if all connections that this process may open there are in use. */
   send(call: UpstreamCall, receiver: UpstreamReceiver): SentRequest | undefined;
-  /** Calls `mayLeave` right before the first byte is sent; if it returns false, the outcome is `unsent`. */
-  order(order: UpstreamOrder, timeoutMs: Ms, mayLeave: () => boolean): Promise<OrderOutcome>;
+  /** Calls `maySend` right before the first byte is sent; if it returns false, the outcome is `unsent`. */
+  order(order: UpstreamOrder, timeoutMs: Ms, maySend: () => boolean): Promise<OrderOutcome>;
   /** Reads the upstream's report; undefined if it does not answer. */
   report(upstream: UpstreamId, address: string, timeoutMs: Ms): Promise<UpstreamReport | undefined>;
   /** Closes all connections to an address whose process has ended. Requests in flight there fail. */
--- a/src/shell/http1/callonce.ts
+++ b/src/shell/http1/callonce.ts
@@ -54,9 +54,9 @@
       return;
     }
     cancelTimeout = clock.after(timeoutMs, () => {
-      const { hasLeft } = sent;
+      const { isSent } = sent;
       sent.cancel();
-      fail(`No answer within ${timeoutMs} ms.`, hasLeft);
+      fail(`No answer within ${timeoutMs} ms.`, isSent);
     });
   });
 }
--- a/src/shell/http1/channel.ts
+++ b/src/shell/http1/channel.ts
@@ -108,7 +108,7 @@
       {
         onConnect: (abort: (error: Error) => void) => {
           // Opening a connection takes time, and the process may have been suspended meanwhile.
-          if (call.mayLeave && !call.mayLeave()) {
+          if (call.maySend && !call.maySend()) {
             isWithheld = true;
             abort(new FailureError({ type: 'withheld', detail: WITHHELD }));
             return;
@@ -139,7 +139,7 @@
       },
     );
     return {
-      get hasLeft() {
+      get isSent() {
         return isSent;
       },
       cancel: () => {
--- a/src/shell/http1/http1call.ts
+++ b/src/shell/http1/http1call.ts
@@ -6,5 +6,5 @@
   readonly headers: readonly string[];
   readonly body?: Buffer;
   /** Called right before the first byte is sent; if it returns false, nothing is sent. */
-  readonly mayLeave?: () => boolean;
+  readonly maySend?: () => boolean;
 }
--- a/src/shell/http1/http1exchange.ts
+++ b/src/shell/http1/http1exchange.ts
@@ -1,7 +1,7 @@
 /** A call in progress. */
 export interface Http1Exchange {
   /** False as long as no byte of the request has left this process. */
-  readonly hasLeft: boolean;
+  readonly isSent: boolean;
   /** Closes the connection. The receiver is not called again. */
   cancel(): void;
   /** Resumes an answer that `Http1Receiver.data` has paused. */
--- a/src/sidecar/exchange.ts
+++ b/src/sidecar/exchange.ts
@@ -10,7 +10,7 @@
   readonly run: (requestId: string, head: RequestHead, sink: AnswerSink) => Promise<void>;
   readonly revision: () => number;
   /** Called when the revision in force at the entry has changed. */
-  readonly sawRevision: (revision: number, fromAddress: string) => void;
+  readonly observeRevision: (revision: number, fromAddress: string) => void;
 }
 
 type Body = NonNullable<Frame['body']>;
@@ -54,7 +54,7 @@
   private take({ frames, revision }: FrameBatch): void {
     if (revision !== this.revision) {
       this.revision = revision;
-      this.options.sawRevision(revision, this.stream.getPeer());
+      this.options.observeRevision(revision, this.stream.getPeer());
     }
     for (const frame of frames) {
       if (frame.body) this.handlers[frame.body.$case]?.(frame, frame.body);
--- a/src/sidecar/exchanges.ts
+++ b/src/sidecar/exchanges.ts
@@ -20,7 +20,7 @@
     const exchange = new Exchange(stream, {
       run: (requestId, head, sink) => this.runner.run(requestId, head, sink),
       revision: () => this.board.revision(),
-      sawRevision: (revision, from) => this.board.observeRevision(revision as Revision, from),
+      observeRevision: (revision, from) => this.board.observeRevision(revision as Revision, from),
     });
     this.live.add(exchange);
     stream.on('close', () => this.live.delete(exchange));
--- a/test/allocation.test.ts
+++ b/test/allocation.test.ts
@@ -153,8 +153,8 @@
   const upstreams = [upstream('u1', ['m1']), upstream('u2', ['m2']), upstream('u3', ['m2'])];
   const demand = { m1: { concurrency: 6, perSecond: 6, idleMs: 0 } };
   const plan = input(upstreams, demand, ['m1', 'm2']);
-  const loads = (promptsPerPause: number) =>
-    planMoves({ ...plan, promptsPerPause }, 4).filter(({ model }) => model === 'm1').length;
+  const loads = (promptsPerGap: number) =>
+    planMoves({ ...plan, promptsPerGap }, 4).filter(({ model }) => model === 'm1').length;
   t.true(loads(3) > loads(12));
 });
 
--- a/test/fleet.test.ts
+++ b/test/fleet.test.ts
@@ -58,6 +58,6 @@
 
 test('the next prompt goes to a replica that is not processing one', (t) => {
   const { fleet, state } = fleetWith(1);
-  Object.assign(state, { readingCount: 1, calmFirstMs: 80 });
+  Object.assign(state, { prefillCount: 1, unloadedFirstEventMs: 80 });
   t.is(fleet.choose(TARGET, 1010)!.info.id, 'second' as UpstreamId);
 });
--- a/test/follower.test.ts
+++ b/test/follower.test.ts
@@ -49,7 +49,7 @@
       gone.push(id);
     },
     upstreamRestarted() {},
-    own() {},
+    ownKeyChanged() {},
     complete() {},
   };
   const feed = new ScriptedFeed(answers) as unknown as ChangeFeed;
--- a/test/followerproperty.test.ts
+++ b/test/followerproperty.test.ts
@@ -101,7 +101,7 @@
         this.known.delete(id);
       },
       upstreamRestarted() {},
-      own() {},
+      ownKeyChanged() {},
       complete() {},
     };
     this.follower = new Follower(feed, guarded, listener, this.clock, LOG, () => paceTable.alone);
--- a/test/link.test.ts
+++ b/test/link.test.ts
@@ -10,7 +10,7 @@
 const head = RequestHead.fromPartial({ model: 'notice-1' });
 
 function openLink(clock: Clock): SharedLink {
-  return new SharedLink({ clock, revision: () => 0, sawRevision: () => {} });
+  return new SharedLink({ clock, revision: () => 0, observeRevision: () => {} });
 }
 
 interface Sending {
@@ -40,15 +40,13 @@
 }
 
 /** Starts a sidecar's gRPC server that runs requests with the given function. */
-async function serve(run: (requestId: string, outlet: AnswerSink) => Promise<void>) {
+async function serve(run: (requestId: string, sink: AnswerSink) => Promise<void>) {
   const server = new Server();
   const exchanges: Exchange[] = [];
   server.addService(WorkService, {
     exchange: (stream: ServerDuplexStream<FrameBatch, FrameBatch>) => {
-      const options = { revision: () => 0, sawRevision: () => {} };
-      exchanges.push(
-        new Exchange(stream, { ...options, run: (id, _head, outlet) => run(id, outlet) }),
-      );
+      const options = { revision: () => 0, observeRevision: () => {} };
+      exchanges.push(new Exchange(stream, { ...options, run: (id, _head, sink) => run(id, sink) }));
     },
   });
   const port = await new Promise<number>((resolve) => {
@@ -83,8 +81,8 @@
 });
 
 test('if the sidecar is lost in the middle of an answer, the request may have run', async (t) => {
-  const { server, address } = await serve((_id, outlet) => {
-    outlet.send({ $case: 'start', value: { status: 200, headers: [] } });
+  const { server, address } = await serve((_id, sink) => {
+    sink.send({ $case: 'start', value: { status: 200, headers: [] } });
     setImmediate(() => server.forceShutdown());
     return new Promise(() => {});
   });
@@ -96,11 +94,11 @@
 test('a draining sidecar finishes its requests; later requests use another stream', async (t) => {
   const finish: (() => void)[] = [];
   const { server, exchanges, address } = await serve(
-    (_id, outlet) =>
+    (_id, sink) =>
       new Promise((resolve) => {
-        outlet.send({ $case: 'start', value: { status: 200, headers: [] } });
+        sink.send({ $case: 'start', value: { status: 200, headers: [] } });
         finish.push(() => {
-          outlet.send({ $case: 'end', value: end });
+          sink.send({ $case: 'end', value: end });
           resolve();
         });
         if (finish.length === 1) exchanges[0]?.leave();
--- a/test/listbehind.test.ts
+++ b/test/listbehind.test.ts
@@ -61,7 +61,7 @@
       listSteadyMs: () => (this.isSilent ? 0 : this.clock.nowMs() - this.regainedAtMs),
       loadOf: () => 0,
       limitOf: () => undefined,
-      promptsPerPause: () => undefined,
+      promptsPerGap: () => undefined,
     });
     const engine = { models: new Map(), adapterSlots: ADAPTER_SLOTS, loadsPerSecond: 1 };
     const services = new Map([[SERVICE, { id: SERVICE, engine }]]);
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import fc from 'fast-check';
 import type { ModelId, UpstreamId } from '../src/base/index.js';
-import { cellsOfModel, cutCells, planCell, placementRules } from '../src/core/placement/index.js';
+import { cellsOfModel, splitCells, planCell, placementRules } from '../src/core/placement/index.js';
 import type { PlannerEffect } from '../src/core/planner/index.js';
 import { Fleet } from './support/fleet.js';
 
@@ -160,7 +160,7 @@
 });
 
 test('cells have at most 64 upstreams and a part of every zone; demand sets how many cells plan a model', (t) => {
-  const cut = cutCells(upstreams(150));
+  const cut = splitCells(upstreams(150));
   t.deepEqual(
     cut.map((cell) => cell.length),
     [50, 50, 50],
--- a/test/plannedstop.test.ts
+++ b/test/plannedstop.test.ts
@@ -31,7 +31,7 @@
     stopWaiting: act('refuse'),
     endAll: act('end'),
   };
-  const door = {
+  const server = {
     leave: act('leave'),
     shut: act('shut'),
     get isListening() {
@@ -44,7 +44,7 @@
   };
   const log = { info() {}, warn() {}, error() {} };
   let isOver = false;
-  const options = { entry: entry as never, door, graceMs: GRACE_MS, clock, log };
+  const options = { entry: entry as never, server, graceMs: GRACE_MS, clock, log };
   void plannedStop(options).then(() => {
     isOver = true;
   });
--- a/test/planning.test.ts
+++ b/test/planning.test.ts
@@ -57,7 +57,7 @@
     upstreams,
     demand,
     isDemandKnown: true,
-    promptsPerPause: 5,
+    promptsPerGap: 5,
     coldLoadsLeft: 30,
   };
 }
--- a/test/promptpace.test.ts
+++ b/test/promptpace.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
-import { calmTime, isPrefilling, promptPaceRules } from '../src/core/promptpace/index.js';
+import { unloadedTimeMs, isPrefilling, promptPaceRules } from '../src/core/promptpace/index.js';
 import { BatchEngine } from './support/batchengine.js';
 
 const GAP_TARGET_MS = 300;
@@ -15,20 +15,23 @@
 function simulate(isPaced: boolean, perSecond: number, seed: number) {
   const random = xoroshiro128plus(seed);
   const entries = Array.from({ length: ENTRIES }, () => ({
-    readingCount: 0,
+    prefillCount: 0,
     streamCount: 0,
     eventAtMs: -Infinity,
-    calmGapMs: Infinity,
-    calmFirstMs: Infinity,
+    unloadedGapMs: Infinity,
+    unloadedFirstEventMs: Infinity,
     waiting: [] as number[],
   }));
   const engine: BatchEngine = new BatchEngine((stream, gapMs) => {
     const entry = entries[stream.entry]!;
-    if (gapMs > 0) entry.calmGapMs = calmTime(entry.calmGapMs, gapMs);
+    if (gapMs > 0) entry.unloadedGapMs = unloadedTimeMs(entry.unloadedGapMs, gapMs);
     if (stream.firstEventAtMs === engine.nowMs && stream.longestGapMs === 0) {
-      entry.readingCount -= 1;
+      entry.prefillCount -= 1;
       entry.streamCount += 1;
-      entry.calmFirstMs = calmTime(entry.calmFirstMs, engine.nowMs - stream.sentAtMs);
+      entry.unloadedFirstEventMs = unloadedTimeMs(
+        entry.unloadedFirstEventMs,
+        engine.nowMs - stream.sentAtMs,
+      );
     }
     entry.eventAtMs = engine.nowMs;
     if (stream.tokensLeft === 0) entry.streamCount -= 1;
@@ -45,7 +48,7 @@
         const mayWait = isPaced && heldMs < FIRST_MS * promptPaceRules.holdShare;
         if (mayWait && isPrefilling(entry, GAP_TARGET_MS, engine.nowMs)) break;
         engine.take(PROMPT_TOKENS, OUTPUT_TOKENS, entry.waiting.shift(), at);
-        entry.readingCount += 1;
+        entry.prefillCount += 1;
       }
     }
     engine.step();
@@ -71,27 +74,27 @@
 });
 
 const IDLE = {
-  readingCount: 0,
+  prefillCount: 0,
   streamCount: 0,
   eventAtMs: -Infinity,
-  calmGapMs: 30,
-  calmFirstMs: 80,
+  unloadedGapMs: 30,
+  unloadedFirstEventMs: 80,
 };
 
 test('an idle engine gets the next prompt at once, and another only after its prefill', (t) => {
   t.false(isPrefilling(IDLE, GAP_TARGET_MS, 1000));
-  t.true(isPrefilling({ ...IDLE, readingCount: 1 }, GAP_TARGET_MS, 1000));
+  t.true(isPrefilling({ ...IDLE, prefillCount: 1 }, GAP_TARGET_MS, 1000));
 });
 
 test('an engine with a short prefill gets several prompts at a time', (t) => {
-  const fast = { ...IDLE, calmFirstMs: 25 };
-  t.false(isPrefilling({ ...fast, readingCount: 2 }, GAP_TARGET_MS, 1000));
-  t.true(isPrefilling({ ...fast, readingCount: 3 }, GAP_TARGET_MS, 1000));
+  const fast = { ...IDLE, unloadedFirstEventMs: 25 };
+  t.false(isPrefilling({ ...fast, prefillCount: 2 }, GAP_TARGET_MS, 1000));
+  t.true(isPrefilling({ ...fast, prefillCount: 3 }, GAP_TARGET_MS, 1000));
 });
 
 test('stalled streams reveal prefills of other entries; streams with rare events do not', (t) => {
   const running = { ...IDLE, streamCount: 3, eventAtMs: 1000 };
   t.false(isPrefilling(running, GAP_TARGET_MS, 1050));
   t.true(isPrefilling(running, GAP_TARGET_MS, 1080));
-  t.false(isPrefilling({ ...running, calmGapMs: 60 }, GAP_TARGET_MS, 1080));
+  t.false(isPrefilling({ ...running, unloadedGapMs: 60 }, GAP_TARGET_MS, 1080));
 });
--- a/test/seeker.test.ts
+++ b/test/seeker.test.ts
@@ -2,7 +2,7 @@
 import { VirtualClock, type ModelId, type ServiceId } from '../src/base/index.js';
 import { DemandMeter, type FindAnswer } from '../src/direct/orders/index.js';
 import { Fleet } from '../src/direct/route/index.js';
-import { Seeker } from '../src/direct/seeker.js';
+import { TargetFinder } from '../src/direct/targetfinder.js';
 
 const TARGET = { service: 's' as ServiceId, model: 'm' as ModelId };
 /** How long no process may send orders if the holder cannot be reached. */
@@ -15,8 +15,8 @@
   readonly atMs: number;
 }
 
-/** Runs `seek` in virtual time; undefined if it has not ended by `untilMs`. */
-async function seek(
+/** Runs `waitForTarget` in virtual time; undefined if it has not ended by `untilMs`. */
+async function findWithin(
   answers: (nowMs: number) => FindAnswer | undefined,
   remainingMs: number,
   untilMs: number,
@@ -26,9 +26,9 @@
   const meter = new DemandMeter('e', 'a');
   const log = { info() {}, warn() {}, error() {} };
   const ask = () => Promise.resolve(answers(clock.nowMs()));
-  const seeker = new Seeker({ clock, log, fleet, meter, ask, ordersInMs: () => VACANT_MS });
+  const finder = new TargetFinder({ clock, log, fleet, meter, ask, ordersInMs: () => VACANT_MS });
   let ended: Ended | undefined;
-  void seeker.seek(TARGET, { ...WAITER, remainingMs }).then((found) => {
+  void finder.waitForTarget(TARGET, { ...WAITER, remainingMs }).then((found) => {
     ended = { ...found, atMs: clock.nowMs() };
   });
   while (clock.nowMs() < untilMs && !ended) {
@@ -39,13 +39,17 @@
 }
 
 test('a request with no time left ends and does not block the event loop', async (t) => {
-  const ended = await seek(() => ({ type: 'later', inMs: 60, isUnderWay: false }), 20, 1000);
+  const ended = await findWithin(() => ({ type: 'later', inMs: 60, isUnderWay: false }), 20, 1000);
   t.is(ended?.type, 'unavailable');
   t.true(ended!.atMs < 200);
 });
 
 test('a load in progress is reported at once, with the time at which it should be done', async (t) => {
-  const ended = await seek(() => ({ type: 'later', inMs: 1700, isUnderWay: true }), 10_000, 5000);
+  const ended = await findWithin(
+    () => ({ type: 'later', inMs: 1700, isUnderWay: true }),
+    10_000,
+    5000,
+  );
   t.is(ended?.type, 'unavailable');
   t.true(ended!.atMs <= 60);
   // Not before the load is done, and early enough for another try.
@@ -53,14 +57,18 @@
 });
 
 test('without a lease holder the caller is refused at once, with the expected time of a load', async (t) => {
-  const ended = await seek(() => undefined, 10_000, 20_000);
+  const ended = await findWithin(() => undefined, 10_000, 20_000);
   t.is(ended?.type, 'unavailable');
   t.true(ended!.atMs <= 60);
   t.true(ended!.retryAfterMs! >= VACANT_MS + 900 && ended!.retryAfterMs! < VACANT_MS + 1500);
 });
 
 test('a load that should be done soon is waited for, and no longer than callers stay', async (t) => {
-  const inTime = await seek(() => ({ type: 'later', inMs: 120, isUnderWay: true }), 10_000, 5000);
+  const inTime = await findWithin(
+    () => ({ type: 'later', inMs: 120, isUnderWay: true }),
+    10_000,
+    5000,
+  );
   t.is(inTime?.type, 'unavailable');
   t.true(inTime!.atMs >= 1300 && inTime!.atMs <= 1550);
 });
--- a/test/sharedfeed.test.ts
+++ b/test/sharedfeed.test.ts
@@ -67,8 +67,8 @@
         return Promise.resolve(this.ownAnswer);
       }),
       sharer: () => 'reader',
-      ask: (_, question) =>
-        this.isReached ? this.reader.answer(question) : Promise.resolve(undefined),
+      ask: (_, request) =>
+        this.isReached ? this.reader.answer(request) : Promise.resolve(undefined),
     });
   }
 
--- a/test/sharedrate.test.ts
+++ b/test/sharedrate.test.ts
@@ -108,8 +108,8 @@
   const upstream = 'u' as UpstreamId;
   const order: string[] = [];
   const ask = (name: string, rank: number, waitMs: number) => {
-    const question = { entry: 'e', news: { upstream }, rank, waitMs };
-    void book.draw(question, 1).then((reply: SlotAnswer) => order.push(`${name} ${reply.type}`));
+    const request = { entry: 'e', news: { upstream }, rank, waitMs };
+    void book.draw(request, 1).then((reply: SlotAnswer) => order.push(`${name} ${reply.type}`));
   };
   ask('first', 5, 5000);
   ask('calm', 5, 5000);
@@ -134,7 +134,7 @@
   const draw = () => Promise.resolve({ type: 'granted' as const });
   const client = new SlotClient({ clock, draw });
   const upstream = 'u' as UpstreamId;
-  client.request([upstream], { asker: 'waiting', rank: 1, waitMs: 500 }, 0);
+  client.request([upstream], { requestId: 'waiting', rank: 1, waitMs: 500 }, 0);
   await settle();
   t.is(client.opensInMs(upstream, 0, 'new'), Infinity);
   t.is(client.opensInMs(upstream, 0, 'waiting'), 0);
@@ -146,9 +146,9 @@
   const clock = new VirtualClock();
   let share = 1;
   const book = new SlotSchedule({ clock, share: () => share });
-  const question = { entry: 'e', news: { upstream: 'u' as UpstreamId }, rank: 1, waitMs: 3000 };
-  await book.draw(question, 1);
-  const waiting = book.draw(question, 1);
+  const request = { entry: 'e', news: { upstream: 'u' as UpstreamId }, rank: 1, waitMs: 3000 };
+  await book.draw(request, 1);
+  const waiting = book.draw(request, 1);
   share = 0;
   clock.advanceTo(1000);
   t.is((await waiting).type, 'not-holder');
--- a/test/support/poisonworld.ts
+++ b/test/support/poisonworld.ts
@@ -294,8 +294,8 @@
       prefix: PREFIX,
       swap: (swap) => this.swap(entry, swap),
       isHolder: isAlone,
-      requestTrial: (question) =>
-        Promise.resolve(this.holder?.isUp ? this.holder.guard.decideTrial(question) : undefined),
+      requestTrial: (request) =>
+        Promise.resolve(this.holder?.isUp ? this.holder.guard.decideTrial(request) : undefined),
       reportSoon: () => {
         clock.after(HOP_MS, () => this.report(entry));
       },
--- a/test/support/quotaworld.ts
+++ b/test/support/quotaworld.ts
@@ -159,11 +159,11 @@
       mayGrant,
     });
     book.limit(this.access);
-    const draw = (question: DrawRequest) => this.draw(at, question);
+    const draw = (request: DrawRequest) => this.draw(at, request);
     return { book, client: new QuotaClient({ entry, clock, terms: TERMS, parts, draw }) };
   }
 
-  private draw(from: number, question: DrawRequest): Promise<DrawAnswer | undefined> {
+  private draw(from: number, request: DrawRequest): Promise<DrawAnswer | undefined> {
     const { clock, holder } = this;
     return new Promise((resolve) => {
       if (!this.reaches(from, holder)) {
@@ -172,7 +172,7 @@
       }
       if (from !== holder) this.drawCount += 1;
       clock.after(DELAY_MS, () => {
-        const reply = this.isUp(holder) ? this.entries[holder]!.book.draw(question) : undefined;
+        const reply = this.isUp(holder) ? this.entries[holder]!.book.draw(request) : undefined;
         clock.after(reply ? DELAY_MS : DRAW_TIMEOUT_MS, () => resolve(reply));
       });
     });
--- a/test/support/rateworld.ts
+++ b/test/support/rateworld.ts
@@ -193,15 +193,15 @@
 
   /** Sends a request to the first upstream that accepts it; otherwise asks for slots and returns false. */
   private send(entry: Entry, sinceMs: Ms, leftMs: Ms, nowMs: Ms): boolean {
-    const asker = `${entry.number}-${sinceMs}`;
+    const requestId = `${entry.number}-${sinceMs}`;
     for (const at of this.options.limits.keys()) {
-      if (!this.mayEnter(entry, at, asker, nowMs)) continue;
+      if (!this.mayEnter(entry, at, requestId, nowMs)) continue;
       this.arrivals[at]!.push(nowMs);
       return true;
     }
     const ids = this.options.limits.map((_one, at) => String(at) as UpstreamId);
     const ask = {
-      asker,
+      requestId,
       rank: 1,
       waitMs: Math.max(0, leftMs - rateRules.minUsableMs),
     };
@@ -209,11 +209,11 @@
     return false;
   }
 
-  private mayEnter({ client, parts }: Entry, at: number, asker: string, nowMs: Ms): boolean {
+  private mayEnter({ client, parts }: Entry, at: number, requestId: string, nowMs: Ms): boolean {
     if (this.options.method === 'parts') return this.hasPart(parts[at]!, at, nowMs);
     const id = String(at) as UpstreamId;
-    if (client.opensInMs(id, nowMs, asker) > 0) return false;
-    client.take(id, nowMs, asker);
+    if (client.opensInMs(id, nowMs, requestId) > 0) return false;
+    client.take(id, nowMs, requestId);
     return true;
   }
 
--- a/test/upstreamstart.test.ts
+++ b/test/upstreamstart.test.ts
@@ -67,7 +67,7 @@
     upstreamGone(id: UpstreamId) {
       events.push(`gone ${id}`);
     },
-    own() {},
+    ownKeyChanged() {},
     complete() {},
   };
   const log = { ...SILENT, error: (message: string) => logged.push(message) };
