--- a/src/command/operator/rolloutprogress.ts
+++ b/src/command/operator/rolloutprogress.ts
@@ -36,8 +36,8 @@
 }
 
 /**
- * Returns whether a revision is in force at each entry of the document's region, at each unreachable entry (its region
- * is unknown), and at each sidecar that these entries know.
+ * Returns whether a revision is in force at each entry of the document's region, at each unreachable entry (because its
+ * region is unknown), and at each sidecar that these entries know.
  */
 export function rolloutProgress(
   reports: readonly EntryReport[],
--- a/src/core/admission/accounts.ts
+++ b/src/core/admission/accounts.ts
@@ -5,7 +5,7 @@
 
 /** Time constant over which usage is measured, so that a short burst does not count as exceeding the share. */
 const TIME_CONSTANT_MS = 10_000;
-/** A customer may fill its own share of the queue and this fraction of the rest. */
+/** A customer's requests may fill its share of the queue and this fraction of the rest. */
 const QUEUE_FRACTION_OF_OTHERS = 0.5;
 
 /** Rank of a customer; the lowest goes first. */
--- a/src/core/admission/admissioneffect.ts
+++ b/src/core/admission/admissioneffect.ts
@@ -3,7 +3,7 @@
 /** A decision of admission control. */
 export type AdmissionEffect =
   | { readonly type: 'start'; readonly requestId: string }
-  /** Refuses the request at once and for good; it has not run and will not run here. */
+  /** Refuses the request permanently: it has not run and will not run here. */
   | {
       readonly type: 'refuse';
       readonly requestId: string;
--- a/src/core/admission/concurrencylimit.ts
+++ b/src/core/admission/concurrencylimit.ts
@@ -10,8 +10,8 @@
 const MIN_LIMIT = 2;
 
 /**
- * Limits the number of concurrent requests so that the time between tokens meets its target. That time grows with
- * the number of running requests; a fit fitted to recent measurements predicts where it reaches the target.
+ * Limits the number of concurrent requests so that the time between tokens meets its target. That time grows with the
+ * number of running requests; a linear fit of recent measurements predicts where it reaches the target.
  */
 export class ConcurrencyLimit {
   private current: number;
--- a/src/core/allocation/allocationrules.ts
+++ b/src/core/allocation/allocationrules.ts
@@ -1,6 +1,8 @@
 /** Constants of the allocation plan. Gains and losses are in requests answered on time. */
 export const allocationRules = {
-  /** How long the present value of a replica is expected to last, in s: demand shifts within 4 to 8 s. */
+  /**
+   * Time for which the present value of a replica is expected to stay the same, in s: demand shifts within 4 to 8 s.
+   */
   horizonS: 4,
   /**
    * Up to this share of an engine's slots all answers are on time, if the engine prefills at most `basePrompts` within
@@ -26,6 +28,6 @@
   minStayMs: 1500,
   /** Gain per second for which requests for a model have found no replica: prevents starvation. */
   absentGainPerS: 0.25,
-  /** Gain of a first replica of a model without demand: its first request finds it in memory. */
+  /** Gain of a first replica of a model without demand: the first request for the model then finds it in memory. */
   reachableGain: 0.5,
 } as const;
--- a/src/core/allocation/bestmove.ts
+++ b/src/core/allocation/bestmove.ts
@@ -11,7 +11,8 @@
 const MS_PER_S = 1000;
 /**
  * Cost of each second for which a move occupies an engine: other models may need the engine meanwhile. It rises with
- * the share of busy engines: with 13 to 16 of 16 engines in loads of 6 s, models on the disks of these had to wait.
+ * the share of busy engines: while 13 to 16 of 16 engines were occupied by loads of 6 s, models on the disks of these
+ * engines had to wait.
  */
 const ORDER_COST_PER_S = 0.3;
 const CONTENTION_COST_PER_S = 1.2;
--- a/src/core/allocation/goodput.ts
+++ b/src/core/allocation/goodput.ts
@@ -3,7 +3,7 @@
 /**
  * Returns the load that an engine answers on time if `level` is offered, both as a share of its slots. Goodput rises
  * until one more request would make others late. Load beyond that is refused, so an engine that is offered ten times
- * its slots keeps its peak goodput, and each further replica adds the same again.
+ * its slots keeps its peak goodput, and each further replica adds the same amount.
  */
 export function goodput(level: number, onTimeShare: number): number {
   const { lateSpan } = allocationRules;
--- a/src/core/allocation/plan.ts
+++ b/src/core/allocation/plan.ts
@@ -20,7 +20,7 @@
 
 /**
  * Computes the moves worth making now, the most urgent first, at most one per engine. Runs in small steps so that
- * requests need not wait for a whole plan: with cold code, one of 28 engines took 1.8 s on a quarter of a core.
+ * requests need not wait for a whole plan: a plan for 28 engines took 1.8 s with cold code on a quarter of a core.
  */
 export class Plan {
   readonly moves: Move[] = [];
--- a/src/core/attempt/attempteffect.ts
+++ b/src/core/attempt/attempteffect.ts
@@ -18,7 +18,7 @@
       readonly continued: boolean;
       readonly remainingMs: Ms;
     }
-  /** Tells the sidecar of the running attempt to stop it. */
+  /** Cancels the running attempt at its sidecar. */
   | { readonly type: 'cancel' }
   | { readonly type: 'finish' }
   | { readonly type: 'fail'; readonly refusals: readonly Refusal[] };
--- a/src/core/attempt/attemptstate.ts
+++ b/src/core/attempt/attemptstate.ts
@@ -20,7 +20,7 @@
   readonly passed: boolean;
   /** True if the request may be run more than once. */
   readonly repeatable: boolean;
-  /** True if a ticket binds it to one upstream, which runs it at most once however often it is asked. */
+  /** True if a ticket binds it to one upstream, which runs it at most once, however often it is sent. */
   readonly bound: boolean;
   readonly deadlineAtMs: Ms;
   readonly attemptLimit: number;
--- a/src/core/attempt/stepattempt.ts
+++ b/src/core/attempt/stepattempt.ts
@@ -38,7 +38,10 @@
   return take(state, step, [effect], { tried: next });
 }
 
-/** Allows the upstreams that failed the request again after a delay: a sidecar may be back, a cut may not recur. */
+/**
+ * Allows the upstreams that failed the request again after a delay: by then a sidecar may be reachable again, and an
+ * interruption may not recur.
+ */
 function retryTried(state: AttemptState, nowMs: number): Changed {
   const remainingMs = Math.max(0, remainingTimeMs(state, nowMs) - RETRY_DELAY_MS);
   const effect: AttemptEffect = { type: 'choose', tried: [], remainingMs, afterMs: RETRY_DELAY_MS };
--- a/src/core/handover/handoverstate.ts
+++ b/src/core/handover/handoverstate.ts
@@ -7,7 +7,7 @@
 interface Moving {
   readonly session: Session;
   readonly phase: HandOverPhase;
-  /** The upstream that it goes to. */
+  /** The upstream that it is handed over to. */
   readonly upstream: UpstreamId | undefined;
 }
 
--- a/src/core/idempotency/mappingstate.ts
+++ b/src/core/idempotency/mappingstate.ts
@@ -8,7 +8,7 @@
   readonly requestHash: string;
   /** The ticket issued to this entry for the key; empty until then. */
   readonly ticket: string;
-  /** From this time on, a missing mapping in the store may have existed and lapsed. */
+  /** From this time on, a missing mapping does not prove that the key is unmapped: it may have existed and lapsed. */
   readonly boundUntilMs: Ms;
   /** Remaining attempts to create the key. */
   readonly createsLeft: number;
--- a/src/core/idempotency/sharedlease.ts
+++ b/src/core/idempotency/sharedlease.ts
@@ -14,7 +14,9 @@
 /** Maximum time to bind a request to a ticket; see `boundUntilMs`. */
 const BINDING_MS = 5000;
 
-/** Time by which a mapping outlives the period in which its key may be repeated: to send, read and bind. */
+/**
+ * Time by which a mapping outlives the period in which its key may be repeated. It covers sending, reading and binding.
+ */
 const MARGIN_MS = 40_000;
 
 /** Lease times. A lease outlives its tickets: a mapping that lapsed first would let a key run twice. */
--- a/src/core/mesh/expire.ts
+++ b/src/core/mesh/expire.ts
@@ -28,9 +28,9 @@
 }
 
 /**
- * Drops the records of upstreams whose host has been off the host list for `expiryMs`, provided that the
- * list has been read. Their versions stay as tombstones, up to `tombstoneCount`, so that a peer that was
- * partitioned off cannot bring back an older incarnation.
+ * Drops the records of upstreams whose host has been off the host list for `expiryMs`, provided that the list has been
+ * read. Their versions stay as tombstones, up to `tombstoneCount`, so that a peer that was partitioned off cannot
+ * reintroduce an older incarnation.
  */
 export function expire(state: MeshState, nowMs: Ms): MeshChange {
   if (nowMs < state.nextExpiryAtMs || state.listedAtMs.size === 0) return { state, effects: [] };
--- a/src/core/mesh/meshdigest.ts
+++ b/src/core/mesh/meshdigest.ts
@@ -6,7 +6,7 @@
   readonly host: string;
   /** Highest document revision that the sender holds. */
   readonly revision: number;
-  /** Held versions under the interests; empty if `hash` stands in for them. */
+  /** Held versions under the interests; empty if `hash` is compared instead. */
   readonly versions: readonly MeshVersion[];
   /** Key prefixes of the requested records; empty means all. */
   readonly interests: readonly string[];
--- a/src/core/mesh/neighbours.ts
+++ b/src/core/mesh/neighbours.ts
@@ -10,7 +10,7 @@
   readonly children: readonly string[];
 }
 
-/** Returns the neighbours of this process in the tree of a key; none while it is not in the tree. */
+/** Returns the neighbours of this process in the tree of a key; none while this process is not in the tree. */
 export function neighbours(state: MeshState, key: string, nowMs: Ms): Neighbours {
   const order = treeOrder(state, key);
   const own = order.indexOf(state.self.address);
--- a/src/core/orderlease/orderleaserecord.ts
+++ b/src/core/orderlease/orderleaserecord.ts
@@ -3,7 +3,7 @@
 /** The order lease as stored; names the last process that took it. */
 export interface OrderLeaseRecord {
   readonly host: HostId;
-  /** Where other entries reach the holder. */
+  /** Address at which other entries reach the holder. */
   readonly address: string;
   /** Identifies one run of a process. */
   readonly nonce: string;
--- a/src/core/plannedstop/stoplimits.ts
+++ b/src/core/plannedstop/stoplimits.ts
@@ -1,6 +1,9 @@
 /** Times of a planned stop that several functions share. */
 export const stopLimits = {
-  /** The load balancer probes once a second and removes a host after two failures; a connection may be in flight. */
+  /**
+   * The load balancer probes once a second and removes a host after two failures; a connection that it opened may still
+   * be in flight.
+   */
   listeningMs: 3000,
   /** Bound on the listening time in a shorter grace period: the rest is for running requests. */
   listenShare: 0.5,
--- a/src/core/plannedstop/stopphase.ts
+++ b/src/core/plannedstop/stopphase.ts
@@ -6,7 +6,7 @@
  * - `finishing`: accepts nothing new; requests in flight continue.
  * - `refusing`: requests not yet sent to an upstream are refused, as their answers would come too late.
  * - `ending`: every request gets its final answer; the process exits once these are written.
- * - `over`: the process exits, whatever is left.
+ * - `over`: the process exits, even if answers are unfinished.
  */
 type StopPhase = 'listening' | 'finishing' | 'refusing' | 'ending' | 'over';
 
@@ -20,7 +20,7 @@
 /** SIGKILL comes at the end of the grace period; the last check may be 0.1 s late. */
 const OVER_SHARE = 0.985;
 
-/** Returns the phase of a planned stop that began `elapsedMs` ago. */
+/** Returns the phase of a planned stop that began `tookMs` ago. */
 export function stopPhase(tookMs: Ms, graceMs: Ms): StopPhase {
   if (tookMs >= graceMs * OVER_SHARE) return 'over';
   if (tookMs >= graceMs * ENDING_SHARE) return 'ending';
--- a/src/core/planner/plannerstate.ts
+++ b/src/core/planner/plannerstate.ts
@@ -2,7 +2,7 @@
 import type { CellPlan } from '../placement/index.js';
 import type { DemandState } from './demandstate.js';
 
-/** A replica with the time at which its load was ordered or last seen under way, or at which it became ready. */
+/** A replica and a point in time: when its load was ordered or last seen in progress, or when it became ready. */
 interface TimedReplica {
   readonly upstream: UpstreamId;
   readonly model: ModelId;
--- a/src/core/planner/plansof.ts
+++ b/src/core/planner/plansof.ts
@@ -46,7 +46,7 @@
   );
 }
 
-/** Returns each upstream's part of a plan. Lost upstreams get none. */
+/** Returns each upstream's part of a plan, except for lost upstreams. */
 export function plansOf(plan: CellPlan, cell: Cell, sequence: number): readonly Place[] {
   const versions = new Map(cell.models.map(({ id, version }) => [id, version]));
   const live = cell.upstreams.filter(({ state }) => state !== 'lost');
--- a/src/core/poison/crashstate.ts
+++ b/src/core/poison/crashstate.ts
@@ -1,6 +1,6 @@
 /**
- * What is known of an upstream that seemed to crash under a request. Where the records of two entries differ, the
- * state that stands later in this list wins.
+ * What is known of an upstream that seemed to crash under a request. Where the records of two entries differ, the state
+ * that is later in this list wins.
  */
 export type CrashState =
   /** The connection broke; nothing else is known yet. */
--- a/src/core/poison/index.ts
+++ b/src/core/poison/index.ts
@@ -1,4 +1,4 @@
-/** Tells requests that crash upstreams (queries of death) from those that only ran on a crashing upstream. */
+/** Distinguishes requests that crash upstreams (queries of death) from those that only ran on a crashing upstream. */
 export { crashProbability } from './crashprobability.js';
 export { countedCrashes } from './countedcrashes.js';
 export type { Crash } from './crash.js';
--- a/src/core/poison/poisonrules.ts
+++ b/src/core/poison/poisonrules.ts
@@ -1,4 +1,4 @@
-/** When a request is taken as the cause of crashes. */
+/** Rules that decide when a request counts as the cause of crashes. */
 export const poisonRules = {
   /**
    * This many independent crashes are sufficient, however often upstreams crash otherwise. A caller that retries once
--- a/src/core/poison/verdict.ts
+++ b/src/core/poison/verdict.ts
@@ -2,7 +2,10 @@
 export type Verdict =
   /** No evidence against it. */
   | 'sound'
-  /** Upstreams crashed under it, maybe by coincidence: it runs one at a time, where a crash does least harm. */
+  /**
+   * Upstreams crashed under it, maybe by coincidence: it runs at one upstream at a time, preferably one whose crash
+   * does least harm.
+   */
   | 'suspect'
-  /** It crashes the upstreams that run it: it is not sent to any. */
+  /** The request crashes the upstreams that run it, so it is not sent to any. */
   | 'poison';
--- a/src/core/quota/localbucket.ts
+++ b/src/core/quota/localbucket.ts
@@ -4,7 +4,7 @@
 import { quotaLimits } from './quotalimits.js';
 import type { QuotaTerms } from './quotaterms.js';
 
-/** The time in which an entry fills its bucket from a fixed part of the rate, and that part. */
+/** The time span in which an entry fills its bucket from a fixed part of the rate, and the size of that part. */
 interface Isolation {
   readonly fromMs: Ms;
   readonly untilMs: Ms;
--- a/src/core/quota/quotalimits.ts
+++ b/src/core/quota/quotalimits.ts
@@ -21,7 +21,7 @@
   excessShare: 0.7,
   /** A request charged longer ago than this is charged again before it is sent, in ms. */
   chargeValidMs: 400,
-  /** What an entry gets in advance, as a multiple of its demand between two reports. */
+  /** Amount that an entry is granted in advance, as a multiple of its demand between two reports. */
   prefetchShare: 2.5,
   /** Entries get tokens by demand in advance only if half of the bucket is this many requests per entry. */
   minRequestsPerEntry: 2,
@@ -29,7 +29,7 @@
   refusalBackoffMs: 100,
   /** Number of average requests for which an entry keeps tokens in advance if a customer's limit is low. */
   prefetchRequests: 1.5,
-  /** Reports without demand after which unused tokens are returned; 3 s, since occasional callers come again. */
+  /** Reports without demand after which unused tokens are returned; 3 s, since occasional callers return. */
   idleReports: 12,
   /** Maximum retry-after time, in ms; most deadlines have passed by then. */
   maxRetryAfterMs: 10_000,
--- a/src/core/quota/sharedbucket.ts
+++ b/src/core/quota/sharedbucket.ts
@@ -10,7 +10,7 @@
 
 /** How much of the rate flows into the shared bucket, and how much of its capacity isolated entries may hold. */
 interface Inflow {
-  /** Fraction of the rate, from 0 to 1. */
+  /** Fraction of the rate that flows into the shared bucket, from 0 to 1. */
   readonly share: number;
   /** Fraction of the capacity that entries without contact to the holder may hold. */
   readonly away: number;
@@ -75,7 +75,7 @@
     else this.wanted.delete(entry);
   }
 
-  /** Removes an entry that is gone for good; what it held was spent or never will be. */
+  /** Removes an entry that no longer exists; what it held was spent or never will be. */
   removeEntry(entry: HostId): void {
     this.onReport(entry, 0, 0, 0);
   }
@@ -109,7 +109,7 @@
     return missing + this.grant(entry, extra);
   }
 
-  /** True while there is too little for an average request. */
+  /** True while too little is left for an average request. */
   isEmpty(): boolean {
     return this.level < this.averageCost;
   }
--- a/src/core/reconcile/isevictable.ts
+++ b/src/core/reconcile/isevictable.ts
@@ -5,7 +5,7 @@
 /**
  * True if callers can reach a model without this upstream. A plan lists the models that have to stay, and it covers an
  * old version only if it names the new one. Without a plan only the reports of entries count. Entries report a replica
- * only to the holder with the higher id, so that two holders do not both evict theirs because of the other.
+ * only to the holder with the higher id, so that two holders do not both evict the model, each relying on the other.
  */
 function isHeldElsewhere({ plan, replicas }: View, { model, version, adapter }: Holding): boolean {
   if (replicas.has(model)) return true;
--- a/src/core/residency/onrescue.ts
+++ b/src/core/residency/onrescue.ts
@@ -68,7 +68,7 @@
   return undefined;
 }
 
-/** Accepts an on-demand load: the entries found the model on no upstream. Refuses if no room can be made for it. */
+/** Accepts an on-demand load of a model that entries found on no upstream. Refuses it if no room can be made. */
 export function onRescue(
   before: ResidencyState,
   { model, adapter, replicas }: OnDemandLoad,
@@ -91,7 +91,7 @@
   const missing = desired.filter(({ key }) => !state.ledger.holdings.has(key));
   const bytes = missing.reduce((sum, { sizeBytes }) => sum + sizeBytes, 0);
   const estimatedReadyMs = Math.ceil(bytes / state.loadBytesPerMs);
-  // Counts as used: otherwise the model would be the first to be evicted before its first request arrives.
+  // The model counts as used: otherwise it would be the first to be evicted, before its first request arrives.
   const lastUsedAtMs = new Map(state.lastUsedAtMs);
   for (const { key } of desired) lastUsedAtMs.set(key, nowMs);
   return {
--- a/src/core/residency/residencyrules.ts
+++ b/src/core/residency/residencyrules.ts
@@ -26,7 +26,9 @@
   readonly tokenOf: (state: ResidencyState) => Incarnation;
   /** True if an order would unload or change something that requests in flight use. */
   readonly isPinned: (ledger: Ledger, open: OpenOrder) => boolean;
-  /** True if a holding is about to be unloaded or its engine to change role: it takes no new pins. */
+  /**
+   * True if a holding is about to be unloaded, or its engine is about to change role: the holding accepts no new pins.
+   */
   readonly isBeingRemoved: (ledger: Ledger, key: HoldingKey) => boolean;
   /** Selects the orders of earlier sidecars that still count. */
   readonly inherit: (inherited: readonly Intent[]) => readonly Intent[];
--- a/src/core/routing/heldelsewhere.ts
+++ b/src/core/routing/heldelsewhere.ts
@@ -3,9 +3,9 @@
 
 /**
  * Returns the models that an upstream may unload to make room: each is ready at a ready upstream with a lower id. The
- * upstream with the lowest id is never allowed to unload it, so that the last replica stays whichever entry asks. If
- * memory cannot hold all models, those that have been ready since `sharedBeforeMs` may be unloaded too, so that models
- * share the memory over time.
+ * upstream with the lowest id is never allowed to unload it, so that the last replica stays in memory, whichever entry
+ * asks. If memory cannot hold all models, those that have been ready since `sharedBeforeMs` may be unloaded too, so
+ * that models share the memory over time.
  */
 export function heldElsewhere(
   state: RoutingState,
--- a/src/core/routing/routinglimits.ts
+++ b/src/core/routing/routinglimits.ts
@@ -1,4 +1,4 @@
-/** Constants of routing, in ms where not said otherwise. */
+/** Constants of routing. Names that end in `Ms` are in ms. */
 export const routingLimits = {
   /** Time constant with which the weight of a load report decays: it loses 63% in this time. */
   loadDecayMs: 2_000,
--- a/src/core/selfreport/applyselfreport.ts
+++ b/src/core/selfreport/applyselfreport.ts
@@ -4,7 +4,7 @@
 
 /**
  * Applies the report of an answer that has just arrived. The newest answer decides the rate; a backoff lasts until the
- * latest end that was asked for. Returns the same state if the report changes nothing.
+ * latest end that the upstream has requested. Returns the same state if the report changes nothing.
  */
 export function applySelfReport(
   state: ReportedState,
--- a/src/core/selfreport/reportedstate.ts
+++ b/src/core/selfreport/reportedstate.ts
@@ -6,8 +6,8 @@
   readonly ratePerS?: number;
   /** Arrival of the newest answer that could name a rate, at whichever process. */
   readonly rateAtMs: Ms;
-  /** It is about to end. An incarnation that leaves never comes back. */
+  /** True once the upstream is leaving. An incarnation that leaves never accepts requests again. */
   readonly isLeaving: boolean;
-  /** It asked this process to send it nothing before then. */
+  /** The upstream has requested that this process send nothing before this time. */
   readonly backoffUntilMs: Ms;
 }
--- a/src/direct/caller.ts
+++ b/src/direct/caller.ts
@@ -29,21 +29,21 @@
 /** A caller that waits for an answer. */
 export interface Caller {
   readonly request: CallerRequest;
-  /** Starts the answer. One without a length ends with the connection. */
+  /** Starts the answer. An answer without a length ends when the connection closes. */
   begin(status: number, headers: readonly string[], hasLength: boolean): void;
-  /** Returns false if the caller accepts no more for now. */
+  /** Writes a part of the answer. Returns false if the caller accepts no more data for now. */
   write(chunk: Buffer): boolean;
   end(): void;
   /** Answers with a problem document; only before `begin`. */
   refuse(refusal: Refusal): void;
   /** Breaks the connection, so that a partial answer does not look complete. */
   cut(): void;
-  /** Calls back when the caller accepts more again. */
+  /** Calls back when the caller accepts more data again. */
   onFree(act: () => void): void;
   /** Calls back once if the caller leaves before its answer is complete. */
   onGone(act: () => void): void;
-  /** True while `act` of `whenPresent` runs: the caller was connected a moment ago. */
+  /** True while a callback of `whenPresent` runs: the caller has just been found to be connected. */
   readonly isPresent: boolean;
-  /** Calls back once all connection closes that have arrived by now are processed, unless the caller has left. */
+  /** Calls back after all connection closes that have already arrived are processed, unless the caller has left. */
   whenPresent(act: () => void): void;
 }
--- a/src/direct/directentry.ts
+++ b/src/direct/directentry.ts
@@ -360,7 +360,7 @@
     this.context.metrics.count('direct.attempt', 1, { outcome });
   }
 
-  // Called by the follower.
+  // Callbacks of the follower.
 
   setTable(table: RouteTable): void {
     this.table = table;
@@ -454,7 +454,10 @@
     });
   }
 
-  /** Returns the share of slots that this entry may grant; in a store outage a holder keeps a part, as none follows. */
+  /**
+   * Returns the share of slots that this entry may grant; after its lease has lapsed a holder grants a part, because a
+   * store outage may prevent a successor.
+   */
   private slotShare(): number {
     if (this.orderLease.mayAnswer()) return 1;
     return this.orderLease.isHolder() ? rateRules.lapsedShare : 0;
--- a/src/direct/entrycount.ts
+++ b/src/direct/entrycount.ts
@@ -5,11 +5,11 @@
  * when entries are added or a few are unknown.
  */
 const MIN_SHARES = 8;
-/** Parts for each known entry: a quarter more may start before the count is reported again. */
+/** Number of parts per known entry: a quarter more entries may start before the count is reported again. */
 const SHARES_PER_ENTRY = 1.25;
-/** Parts before the count is known, within a second of the start: as with 25 entries. */
+/** Number of parts until the count is known, within a second of the start: the same as for 25 entries. */
 const UNKNOWN_SHARES = 32;
-/** An entry that has not reported for this long is gone for good; restarts take a few seconds. */
+/** An entry that has not reported for this long is not counted any more; a restart takes a few seconds. */
 const FORGET_MS = 20_000;
 
 /** Estimates the number of entries from their reports. */
--- a/src/direct/intake/quotarefusal.ts
+++ b/src/direct/intake/quotarefusal.ts
@@ -9,7 +9,7 @@
     type: 'over-quota',
     detail: 'Requests of this customer have reached its limit.',
   },
-  // The quota need not be used up: another entry may know that it is not.
+  // The quota is not necessarily used up: another entry may know how much of it is left.
   unknown: {
     status: 503,
     type: 'quota-unknown',
--- a/src/direct/orders/adapterloader.ts
+++ b/src/direct/orders/adapterloader.ts
@@ -34,9 +34,12 @@
 const MAX_ARRIVING = 3;
 /** Ranks upstreams with a free adapter slot before full ones, whose cost is a time in ms since process start. */
 const FREE_SLOT_BONUS = 1e9;
-/** How long an adapter that unloads after its last run is not ordered to unload again; the list shows it by then. */
+/**
+ * An adapter that is being unloaded after its last run gets no second unload order for this long: by then the list
+ * shows the unload.
+ */
 const UNLOAD_LIST_LAG_MS = 2500;
-/** Answer for an adapter without a free slot, in ms: most runs that use adapters end sooner. */
+/** Answer if no adapter slot is free: most runs that use adapters end within its time, in ms. */
 const NO_FREE_SLOT: FindAnswer = { type: 'later', inMs: 300, isUnderWay: true };
 /**
  * A request that has waited this long may evict an adapter that is in use. An engine that waits for an adapter's
@@ -189,7 +192,7 @@
   /** Returns the least recently requested adapter; adapters in use only if the request starves. */
   private victim(view: UpstreamView, isStarved: boolean): LoadedAdapter | undefined {
     const nowMs = this.context.clock.nowMs();
-    // One adapter in use at a time: its unload keeps the engine from accepting other orders.
+    // At most one adapter in use is evicted at a time: its unload keeps the engine from accepting other orders.
     if (isStarved && view.unloadingAdapters.size > 0) return undefined;
     let oldest: LoadedAdapter | undefined;
     for (const [model, { adapters }] of view.models) {
@@ -211,7 +214,7 @@
     const { model, adapter } = victim;
     const outcome = await sendOrder(this.context, view, { action: 'unload', model, adapter });
     if (outcome === 'accepted') {
-      // It is unloaded once its runs have ended, and occupies its slot until then.
+      // The adapter is unloaded once its runs have ended, and occupies its slot until then.
       const key = `${model}/${adapter}`;
       view.unloadingAdapters.add(key);
       const { clock } = this.context;
--- a/src/direct/orders/adoptmodels.ts
+++ b/src/direct/orders/adoptmodels.ts
@@ -3,7 +3,7 @@
 import { listLagMs } from './listlag.js';
 import type { UpstreamView } from './upstreamview.js';
 
-/** A load not done after this has failed: a load takes 4.2 s, and one that is carried out late 12 s more. */
+/** A load that is not done after this time has failed: a load takes 4.2 s, and 12 s more if it is carried out late. */
 const MAX_LOAD_MS = 17_000;
 
 function adaptersOf(
@@ -23,7 +23,10 @@
   return adapters;
 }
 
-/** Adopts the models that an upstream reports; loads in progress stay so until the report contains them. */
+/**
+ * Adopts the models that an upstream reports; loads in progress stay recorded as loading until the report contains
+ * them.
+ */
 export function adoptModels(view: UpstreamView, models: Upstream['models'], nowMs: Ms): void {
   const before = view.models;
   const next: UpstreamView['models'] = new Map();
--- a/src/direct/orders/demandestimator.ts
+++ b/src/direct/orders/demandestimator.ts
@@ -28,16 +28,18 @@
 const AVERAGE_MS = 2500;
 /** Rising concurrency is followed sooner: a model becomes busy within 4 to 6 s. */
 const RISE_MS = 600;
-/** The bias correction of young averages adds this to the observed time: one request is not a rate. */
+/**
+ * Added to the observed time in the bias correction of young averages, so that one request does not count as a rate.
+ */
 const PRIOR_MS = 1000;
 /** After this much observation the demand is known: a few requests for each model in use. */
 const LEARN_MS = 4000;
 /** An adapter requested within this time counts as in use. */
 const ADAPTER_IN_USE_MS = 3000;
 /**
- * Time constants of the two averages whose difference is the trend of a model's requests. An average lags by its
- * time constant. Extrapolating to now raised the share of the achievable value that plans earn by 0.04 and 0.02
- * where demand shifts; extrapolating to the end of a load lowered it, as models still in use lost replicas.
+ * Time constants of the two averages whose difference is the trend of a model's requests. An average lags by its time
+ * constant. Where demand shifts, extrapolating the rate to the present raised the value of plans by 0.04 and 0.02 of
+ * the achievable value; extrapolating it to the end of a load lowered the value, as models still in use lost replicas.
  */
 const SHORT_MS = 600;
 const LONG_MS = 2000;
@@ -52,7 +54,7 @@
 const MISSED_MS = 6000;
 /** Below this decayed count no caller waits for the model any more. */
 const MIN_MISSED = 0.2;
-/** Bound on the mean duration of a request: behind a queue it grows without meaning. */
+/** Bound on the mean duration of a request: with a queue, the duration grows and does not show the engine's speed. */
 const MAX_MEAN_S = 2;
 /** Assumed mean duration of a request before any has ended. */
 const DEFAULT_MEAN_S = 0.7;
@@ -138,7 +140,7 @@
     return false;
   }
 
-  /** Notes a request for a model that no report contains yet. */
+  /** Records a request for a model that no report contains yet. */
   wanted(service: ServiceId, model: ModelId, nowMs: Ms): void {
     this.stats(service, model, nowMs).lastMs = nowMs;
   }
--- a/src/direct/orders/demandreport.ts
+++ b/src/direct/orders/demandreport.ts
@@ -26,12 +26,12 @@
 /** What one entry reports to the order lease holder, several times a second. */
 export interface DemandReport {
   readonly entry: string;
-  /** Where other entries reach this one. */
+  /** Address at which other entries reach this one. */
   readonly address: string;
   readonly models: readonly ModelReport[];
   /** Upstreams that the entry considers lost: connections to them do not open. */
   readonly lost: readonly UpstreamId[];
-  /** Up to where the entry knows residency changes. */
+  /** Position up to which the entry knows residency changes. */
   readonly heard?: ResidencyCursor;
   /** Absent from an entry that does not track suspected queries of death. */
   readonly poison?: PoisonReport;
--- a/src/direct/orders/lostupstreams.ts
+++ b/src/direct/orders/lostupstreams.ts
@@ -1,7 +1,10 @@
 import type { Ms, UpstreamId } from '../../base/index.js';
 import type { DemandReport } from './demandreport.js';
 
-/** A single entry may be cut off from an upstream that all others reach. */
+/**
+ * Least number of entries that have to report the loss: a single entry may be cut off from an upstream that all others
+ * reach.
+ */
 const MIN_ENTRIES = 2;
 /** Entries report several times a second; a report that was not repeated within this time has expired. */
 const FRESH_MS = 1000;
--- a/src/direct/orders/mover.ts
+++ b/src/direct/orders/mover.ts
@@ -20,13 +20,13 @@
 
 /** Interval between checks whether an order is done. */
 const POLL_MS = 25;
-/** A model order that is not done this long after its expectedAt end has failed. */
+/** A model order that is not done this long after its expected end has failed. */
 const OVERDUE_MS = 2500;
 /** Interval between reports requested from an upstream while the list does not show an order's effect. */
 const REPORT_EVERY_MS = 400;
 /**
  * While the list is unreadable an upstream is asked this long after a load should be done, or an unload was accepted:
- * asking from half of the load time on cost 520 requests in an outage of 7 s.
+ * requesting reports from half of the load time on cost 520 requests in an outage of 7 s.
  */
 const REPORT_AFTER_LOAD_MS = 100;
 const REPORT_AFTER_UNLOAD_MS = 150;
@@ -74,7 +74,7 @@
       target.isMoving = false;
       return;
     }
-    // Counts as loading from now on, so that no second replica is planned while room is made.
+    // The model counts as loading from now on, so that no second replica is planned while room is made.
     view.models.set(model, { phase: 'loading', sinceMs: clock.nowMs(), adapters: new Set() });
     this.moving += 1;
     const key = `${service}/${model}`;
@@ -144,7 +144,10 @@
     return 'unload-overdue';
   }
 
-  /** Waits until a condition holds by the list; while the list is unreadable the upstream itself is asked. */
+  /**
+   * Waits until a condition holds according to the list; while the list is unreadable, requests the upstream's own
+   * report.
+   */
   private async until(
     view: UpstreamView,
     isTrue: () => boolean,
--- a/src/direct/orders/orderdispatcher.ts
+++ b/src/direct/orders/orderdispatcher.ts
@@ -51,8 +51,8 @@
 /** Least `inMs` of an answer: entries learn of a loaded model a little later. */
 const MIN_ANSWER_MS = 25;
 /**
- * A lease holder requests all upstreams' counts of orders this long before it may send orders: when it asked one by
- * one as moves were planned, a new holder started no move in its first 25 s.
+ * A lease holder requests all upstreams' counts of orders this long before it may send orders: a new holder that
+ * requested them one by one while it planned moves started no move in its first 25 s.
  */
 const REQUEST_COUNTS_BEFORE_MS = 300;
 /** Expected time until a target is ready that no move is in progress for: the next plan and a load from disk. */
@@ -61,9 +61,9 @@
 const PLAN_MS = 300;
 
 /**
- * A find request is answered within this, in ms, and may be repeated. Entries wait 400 ms for an answer and take a
- * later one for the loss of the holder. Loading an adapter takes 20 ms at an upstream without other orders. A
- * refusal costs the caller least within a quarter of its target: 62 ms for a target of 250 ms.
+ * A find request is answered within this, in ms, and may be repeated. Entries wait 400 ms for an answer; without one
+ * they treat the holder as lost. Loading an adapter takes 20 ms at an upstream without other orders. A refusal costs
+ * the caller least within a quarter of its target: 62 ms for a target of 250 ms.
  */
 const FIND_ANSWER_MS = 45;
 const ASK_AGAIN: FindAnswer = { type: 'later', inMs: 150, isUnderWay: true };
@@ -131,7 +131,7 @@
     if (!view) {
       view = {
         info,
-        // Unless it has just started, it may have orders from a previous holder.
+        // Unless the upstream has just started, it may have accepted orders from a previous holder.
         orderCount: undefined,
         done: new Map(),
         unloadingAdapters: new Set(),
@@ -147,7 +147,7 @@
       this.newestAtMs = nowMs;
     }
     view.info = info;
-    // Orders sent and reports received during an outage of the list are newer than its first state after it.
+    // Orders sent and reports received during an outage of the list are newer than the list's first state after it.
     const isViewNewer = !isNew && this.options.lease.isHolder() && this.listBehindMs() > 0;
     if (!isViewNewer) adoptModels(view, info.models, nowMs);
   }
--- a/src/direct/orders/orderleasekeeper.ts
+++ b/src/direct/orders/orderleasekeeper.ts
@@ -15,7 +15,7 @@
 /** Options of an order lease keeper. */
 interface OrderLeaseKeeperOptions {
   readonly host: HostId;
-  /** Where other entries reach this one. */
+  /** Address at which other entries reach this one. */
   readonly address: string;
   readonly key: string;
   readonly spacingMs: Ms;
--- a/src/direct/orders/planrunner.ts
+++ b/src/direct/orders/planrunner.ts
@@ -14,7 +14,7 @@
 }
 
 /**
- * A plan runs for this long at a time, then yields to everything else for `REST_MS`. In one piece the first plan on a
+ * A plan runs for this long at a time, then yields to all other work for `REST_MS`. Without slices, the first plan on a
  * quarter of a core blocked the event loop for 1.8 s. Delaying the next plan by twenty times the last one's duration
  * instead left 11 s without a plan.
  */
--- a/src/direct/orders/refresh.ts
+++ b/src/direct/orders/refresh.ts
@@ -11,8 +11,8 @@
 const SILENT_REST_MS = 800;
 
 /**
- * True if a report can be adopted. One of an older start is ignored; a newer start discards what was ordered before,
- * as it has lost its models and its count of orders.
+ * True if a report can be adopted. A report of an older start is ignored. A report of a newer start discards what was
+ * ordered before, as the upstream has lost its models and its count of orders.
  */
 function isCurrentStart(
   context: OrderContext,
--- a/src/direct/orders/sendorder.ts
+++ b/src/direct/orders/sendorder.ts
@@ -13,9 +13,12 @@
 
 type Outcome = Awaited<ReturnType<UpstreamLink['order']>> | 'not-holder' | 'resting';
 
-/** Age of reports, in ms; one requested sooner may not contain the order that caused the conflict. */
+/** Age of a report's content, in ms: a report requested sooner may not contain the order that caused the conflict. */
 const REPORT_LAG_MS = 350;
-/** Pause after an order reached another start: the list shows its new id by then, and plans don't select it again. */
+/**
+ * Pause after an order reached a restarted upstream: by then the list shows its new id, and plans do not select it
+ * again.
+ */
 const RESTARTED_REST_MS = 1500;
 /** Pause after an order without an answer: most late orders arrive within it, and the list shows their effect. */
 const UNCONFIRMED_REST_MS = 2500;
@@ -41,7 +44,7 @@
   if (clock.nowMs() < view.restUntilMs) return 'resting';
   const expectedOrderCount = view.orderCount;
   if (expectedOrderCount === undefined) {
-    // Its residency may differ from what this order was based on: the caller has to decide again.
+    // The upstream's residency may differ from what this order was based on, so the caller has to decide again.
     await refresh(context, view);
     return 'resting';
   }
--- a/src/direct/poison/poisonguard.ts
+++ b/src/direct/poison/poisonguard.ts
@@ -92,7 +92,7 @@
     );
   }
 
-  /** An upstream that was not about to leave closed the connection before its answer was complete. */
+  /** Records that an upstream, which was not about to leave, closed the connection before its answer was complete. */
   recordCrash({ content, service, model, path, upstream, runMs, isTrial }: BrokenRun): void {
     const { clock, metrics, upstreamCount, reportSoon } = this.options;
     const nowMs = clock.nowMs();
@@ -108,22 +108,22 @@
     reportSoon();
   }
 
-  /** A request ran to the end of its answer: it was not the cause of earlier crashes. */
+  /** Records that a request ran to the end of its answer: it was not the cause of earlier crashes. */
   recordCompletion(content: ContentId): void {
     if (this.book.clear(content, this.options.clock.nowMs())) this.options.reportSoon();
   }
 
-  /** An upstream answered a request that was sent to it at that time. */
+  /** Records that an upstream answered a request that was sent to it at `sentAtMs`. */
   answered(upstream: UpstreamId, sentAtMs: Ms): void {
     if (!this.isIdle) this.book.answered(upstream, sentAtMs, this.options.clock.nowMs());
   }
 
-  /** An upstream left the list, or has restarted. */
+  /** Records that an upstream left the list or has restarted. */
   upstreamGone(upstream: UpstreamId): void {
     this.book.settle(upstream, 'ended', this.options.clock.nowMs());
   }
 
-  /** An upstream reports that its end is planned. */
+  /** Records that an upstream has reported a planned stop. */
   upstreamLeaving(upstream: UpstreamId): void {
     this.book.settle(upstream, 'explained', this.options.clock.nowMs());
   }
@@ -134,7 +134,8 @@
     if (isHolder()) return this.decideTrial({ content, entry: host, isOver: false });
     const decision = await requestTrial({ content, entry: host, isOver: false });
     if (decision !== undefined) return decision;
-    // No holder can tell whether it runs elsewhere. A single crash under it is most probably a coincidence.
+    // Without an answer of the holder, it is unknown whether the request runs elsewhere. It runs here if at most one
+    // crash counts against it: a single crash is most probably a coincidence.
     const suspect = this.book.get(content);
     return !suspect || countedCrashes(suspect).length < poisonRules.minCrashes;
   }
@@ -153,7 +154,7 @@
     return this.trials.begin(content, entry, this.options.clock.nowMs());
   }
 
-  /** A record of the store has changed or was deleted. */
+  /** Applies a change or deletion of a record in the store. */
   stored(key: string, item: KeyValue | undefined): void {
     this.store.heard(key, item, this.options.clock.nowMs());
   }
--- a/src/direct/poison/poisonlimits.ts
+++ b/src/direct/poison/poisonlimits.ts
@@ -1,4 +1,4 @@
-/** Bounds of what is kept about requests that may crash upstreams. */
+/** Bounds of the data that is kept about requests that may crash upstreams. */
 export const poisonLimits = {
   /** A crashed upstream leaves the list after three missed renewals (3.6 s) and the propagation delay of the list. */
   listLapseMs: 6000,
--- a/src/direct/poison/suspectstore.ts
+++ b/src/direct/poison/suspectstore.ts
@@ -27,25 +27,34 @@
 }
 
 /**
- * By then all entries have reported to the holder, and connections that broke at an upstream that is still running are
- * explained, so that each crash takes one write.
+ * Delay before the order lease holder writes a record. By then all entries have reported to it, and connections that
+ * broke at an upstream that is still running are explained, so that each crash takes one write.
  */
 const GATHER_MS = 300;
-/** Without an order lease holder the entries write what they saw themselves; a new holder takes over after 2.6 s. */
+/**
+ * Delay at other entries: without an order lease holder they write what they observed, as a new holder takes over only
+ * after 2.6 s.
+ */
 const OTHERS_GATHER_MS = 1500;
 /** Requests are cleared one by one as their callers retry: waiting this long gathers them into one write. */
 const REMOVE_AFTER_MS = 10_000;
-/** The store answers within milliseconds, or is down or rejects this entry for seconds; and each call is billed. */
+/**
+ * Delay before a failed write is repeated. The store answers within milliseconds, or it fails or rejects this entry for
+ * seconds; each call is billed.
+ */
 const RETRY_MS = 2000;
-/** Twice the number of requests that an upstream runs at once; beyond it the longest runs are left out. */
+/**
+ * Bound on the requests of one record, beyond which the longest runs are left out: twice the number of requests that an
+ * upstream runs at once.
+ */
 const MAX_RUNS = 64;
 const ABSENT = 0 as Revision;
 
 /**
- * Crashes of upstreams with the requests that ran there, one record for each crash, in the store: so what is known of
- * a request outlives all entries. Records of single requests, written from the second crash on, were not enough:
- * when all entries were killed every 15 s, a crashing request ran four times instead of three (in one of 187 seeds of
- * the simulation).
+ * Stores one record for each crash of an upstream, with the requests that ran there, so that the evidence against a
+ * request survives a restart of all entries. Records of single requests, written from the second crash on, were not
+ * enough: when all entries were killed every 15 s, a crashing request ran four times instead of three (in one of 187
+ * seeds of the simulation).
  */
 export class SuspectStore {
   private readonly stored = new Map<UpstreamId, Stored>();
@@ -80,7 +89,7 @@
     }
   }
 
-  /** Takes in a record from the store. A request that is missing from the new version was cleared by its writer. */
+  /** Applies a record from the store. A request that is missing from the new version was cleared by its writer. */
   heard(key: string, item: KeyValue | undefined, nowMs: Ms): void {
     const { book, prefix, log } = this.options;
     const upstream = key.slice(prefix.length) as UpstreamId;
--- a/src/direct/poison/suspectsync.ts
+++ b/src/direct/poison/suspectsync.ts
@@ -17,14 +17,14 @@
     private readonly clock: Clock,
   ) {}
 
-  /** Returns what goes to the holder with the next report. */
+  /** Returns the part on suspected requests of the next report to the holder. */
   report(): PoisonReport {
     const news = this.book.changesSince(this.acknowledged);
     const { heard } = this;
     return news.suspects.length > 0 ? { heard, news } : { heard };
   }
 
-  /** Takes in the holder's answer to a report. */
+  /** Applies the holder's answer to a report. */
   answered({ news }: PoisonReport, reply: SuspectBatch): void {
     this.take(reply);
     const { book, index } = reply;
--- a/src/direct/poison/suspecttable.ts
+++ b/src/direct/poison/suspecttable.ts
@@ -114,7 +114,9 @@
     return suspects;
   }
 
-  /** An upstream answered a request sent at `sentAtMs`: connections that broke before then were no crash. */
+  /**
+   * Records that an upstream answered a request sent at `sentAtMs`: connections that broke before then were no crash.
+   */
   answered(upstream: UpstreamId, sentAtMs: Ms, nowMs: Ms): void {
     const openAtMs = this.open.get(upstream);
     if (openAtMs !== undefined && openAtMs < sentAtMs) this.settle(upstream, 'explained', nowMs);
@@ -128,7 +130,10 @@
     for (const suspect of this.at(upstream)) this.update(suspect, nextState, nowMs);
   }
 
-  /** Returns upstreams whose crash has been open for longer than a crashed upstream stays in the list. */
+  /**
+   * Returns upstreams whose crash has been open for longer than the time for which a crashed upstream stays in the
+   * list.
+   */
   overdue(nowMs: Ms): UpstreamId[] {
     const ids: UpstreamId[] = [];
     for (const [id, atMs] of this.open) {
--- a/src/direct/poison/trials.ts
+++ b/src/direct/poison/trials.ts
@@ -6,7 +6,7 @@
  */
 const TRIAL_MS = 10_000;
 
-/** The suspected requests that run now, with the entry that runs each: at most one run in the whole fleet. */
+/** The suspected requests that run now, with the entry that runs each. Each has at most one run in the whole fleet. */
 export class Trials {
   private readonly running = new Map<ContentId, { readonly entry: string; readonly untilMs: Ms }>();
 
--- a/src/direct/quota/charge.ts
+++ b/src/direct/quota/charge.ts
@@ -38,7 +38,7 @@
   pay(ranCount: number): PaymentResult | Promise<PaymentResult> {
     const { customer, client, cost } = this;
     if (!customer?.quota || this.isSettled) return PAID;
-    // An old payment for a run that has not begun was counted in a window that is over.
+    // An old payment for a run that has not begun was charged to a rate window that is over.
     this.refund(ranCount);
     const taken = client.take(customer, cost);
     if (taken) return this.record(taken);
--- a/src/direct/quota/quotaclient.ts
+++ b/src/direct/quota/quotaclient.ts
@@ -70,7 +70,7 @@
     return this.refuse(id, this.over(bucket, quota!, 0));
   }
 
-  /** Gives back the payment for a run that was not begun. */
+  /** Refunds the payment for a run that was not begun. */
   refund(customer: CustomerId, amount: number): void {
     this.bucket(customer).deposit(amount);
   }
@@ -86,7 +86,7 @@
     return { customers };
   }
 
-  /** Takes in the holder's answer to the report sent at `sentAtMs`. */
+  /** Applies the holder's answer to the report sent at `sentAtMs`. */
   answered({ parts, grants }: QuotaAnswer, sentAtMs: Ms): void {
     const nowMs = this.options.clock.nowMs();
     this.holderParts = parts;
--- a/src/direct/reporter.ts
+++ b/src/direct/reporter.ts
@@ -78,7 +78,7 @@
     else if (address !== undefined) void this.sendReport(address, report);
   }
 
-  /** Sends an extra report shortly, which collects what else happens until then. */
+  /** Sends an extra report after a short delay, which also covers what happens until then. */
   reportSoon(): void {
     if (this.isReportDue) return;
     this.isReportDue = true;
--- a/src/direct/returndetector.ts
+++ b/src/direct/returndetector.ts
@@ -14,8 +14,8 @@
 const BELOW_SHARE = 0.2;
 const STEP_SHARE = 0.01;
 /**
- * Evenly spread deadlines end this far below the usual one, relative to its distance from the longest: 0.25, plus a
- * margin for noise.
+ * Distance from the usual deadline down to the shortest, as a fraction of the distance from the usual deadline up to
+ * the longest. It is 0.25 for evenly spread deadlines; the rest is a margin for noise.
  */
 const SPREAD_SHARE = 0.3;
 /** If deadlines do not differ, a caller below this share of the longest is returning. */
@@ -24,9 +24,9 @@
 const MIN_COUNT = 30;
 
 /**
- * Detects callers that return after a refusal: they have less time left than nearly all others of their route.
- * First tries differ in their deadlines as well (by 15 %): compared with the longest deadline only, 1,388 of 1,846
- * of them counted as returns. A return after a short wait cannot be told from a first try and is treated as one.
+ * Detects callers that return after a refusal: they have less time left than nearly all others of their route. First
+ * tries differ in their deadlines as well (by 15 %): compared with the longest deadline only, 1,388 of 1,846 of them
+ * counted as returns. A return after a short wait cannot be distinguished from a first try and is treated as one.
  */
 export class ReturnDetector {
   private readonly routes = new Map<string, RouteDeadlines>();
@@ -41,7 +41,7 @@
     observed.count += 1;
     observed.longestMs = Math.max(deadlineMs, observed.longestMs * DECAY);
     const isBelow = deadlineMs < observed.longestMs * observed.usualShare;
-    // In equilibrium when `BELOW_SHARE` of the callers are below.
+    // The usual share stays the same on average when `BELOW_SHARE` of the callers are below it.
     const step = isBelow ? -STEP_SHARE * (1 - BELOW_SHARE) : STEP_SHARE * BELOW_SHARE;
     observed.usualShare = Math.min(1, Math.max(0, observed.usualShare + step));
     return isReturn;
--- a/src/direct/route/choiceoptions.ts
+++ b/src/direct/route/choiceoptions.ts
@@ -4,7 +4,7 @@
 export interface ChoiceOptions {
   /** Upstreams that were tried already; they are not chosen again. */
   readonly tried?: ReadonlySet<UpstreamId>;
-  /** Whether upstreams that this entry takes for lost may be chosen. */
+  /** Whether upstreams that this entry considers lost may be chosen. */
   readonly includesLost?: boolean;
   /** The request is suspected and may crash the upstream that runs it. */
   readonly isTrial?: boolean;
--- a/src/direct/route/fleet.ts
+++ b/src/direct/route/fleet.ts
@@ -222,7 +222,7 @@
     const failed = outcome === 'failed' || outcome === 'unreachable' ? 1 : 0;
     if (failed === 1) draft.failedAtMs = nowMs;
     if (outcome === 'answered') Object.assign(draft, { answeredAtMs: nowMs, lostAtMs: -Infinity });
-    // An upstream that lacks a model which it has by the list, right after a failure, has restarted.
+    // An upstream that lacks, right after a failure, a model that it holds according to the list has restarted.
     const hasRestarted =
       outcome === 'missing' &&
       target.adapter === undefined &&
@@ -240,7 +240,7 @@
     return nowMs - state.lostAtMs < UNREACHABLE_MS || this.isSilent(state, nowMs);
   }
 
-  /** Notes that the event loop was stalled until now, so that missing events are not held against upstreams. */
+  /** Records that the event loop was stalled until now, so that upstreams do not count as silent because of it. */
   resumed(nowMs: Ms): void {
     this.resumedAtMs = nowMs;
   }
@@ -252,7 +252,7 @@
     return nowMs - Math.max(eventAtMs, this.resumedAtMs) > silentMs;
   }
 
-  /** Returns the upstreams that this entry takes for lost now. */
+  /** Returns the upstreams that this entry considers lost now. */
   lost(nowMs: Ms): UpstreamId[] {
     const ids: UpstreamId[] = [];
     for (const state of this.states.values()) {
@@ -261,7 +261,7 @@
     return ids;
   }
 
-  /** Notes whether a model or adapter was found there, until the list can show it. */
+  /** Records whether a model or adapter was found there, until the list can show it. */
   hint(state: UpstreamState, { model, adapter }: Target, isThere: boolean, nowMs: Ms): void {
     if (model === undefined) return;
     const hint = { isThere, untilMs: nowMs + HINT_MS };
@@ -269,7 +269,7 @@
     if (adapter === undefined || isThere) state.hints.set(model, hint);
   }
 
-  /** Takes in the load that an upstream reported in an answer. */
+  /** Applies the load that an upstream reported in an answer. */
   recordLoad(state: UpstreamState, load: { running: number; waiting: number }, nowMs: Ms): void {
     const othersLoad = Math.max(0, load.running + load.waiting - state.inFlight);
     Object.assign(state, { othersLoad, othersAtMs: nowMs });
--- a/src/direct/route/slotwaiter.ts
+++ b/src/direct/route/slotwaiter.ts
@@ -1,8 +1,10 @@
 import type { Ms } from '../../base/index.js';
 
-/** Who waits for a slot at an upstream with a rate limit. */
+/** A wait for a slot at an upstream with a rate limit. */
 export interface SlotWaiter {
-  /** The request, for which the holder is asked once at a time. Absent if the slot is for any next request. */
+  /**
+   * The request that waits; at most one slot request for it is outstanding. Absent if the slot is for any next request.
+   */
   readonly requestId?: string;
   /** Urgency; 0 is the most urgent. */
   readonly rank: number;
--- a/src/direct/route/upstreamstate.ts
+++ b/src/direct/route/upstreamstate.ts
@@ -15,13 +15,16 @@
   othersAtMs: Ms;
   /** Fraction of the recent attempts that failed there: 0 to 1. */
   failureShare: number;
-  /** Not chosen before then if another upstream can be. */
+  /** Not chosen before this time if another upstream can be chosen. */
   avoidUntilMs: Ms;
   /** When it was last found lost: a connection did not open, or after a failure another incarnation answered. */
   lostAtMs: Ms;
   answeredAtMs: Ms;
   failedAtMs: Ms;
-  /** Requests of this entry whose first event has not arrived: their prompts are being processed, or wait for it. */
+  /**
+   * Requests of this entry whose first event has not arrived: their prompts are being processed, or wait to be
+   * processed.
+   */
   prefillCount: number;
   /** Streams of this entry that have begun there and not ended. */
   streamCount: number;
--- a/src/direct/run/reply.ts
+++ b/src/direct/run/reply.ts
@@ -82,7 +82,7 @@
     return this.caller.write(payload);
   }
 
-  /** Discards the buffered answer, as the request is sent on; a failure is kept in case no better answer arrives. */
+  /** Discards the buffered answer, as the request is sent again; a failure is kept in case no better answer arrives. */
   setAside(isFailure: boolean): void {
     if (isFailure) this.fallback = { head: this.head!, held: this.held! };
     this.held = undefined;
--- a/src/direct/run/run.ts
+++ b/src/direct/run/run.ts
@@ -358,7 +358,10 @@
     });
   }
 
-  /** Returns a number from 0 to 1 by the request id. It spreads the retries of requests refused at the same time. */
+  /**
+   * Returns a number from 0 to 1 that is derived from the request id. It spreads the retries of requests refused at the
+   * same time.
+   */
   private place(): number {
     return hash32(this.caller.request.id) / HASH_RANGE;
   }
@@ -547,7 +550,9 @@
     else this.refuse(503, type, detail, RETRY_AFTER_MS);
   }
 
-  /** Cancels the attempt under way, if any, and notes it in the request's log line. Returns true if it may have run. */
+  /**
+   * Cancels the attempt under way, if any, and records it in the request's log line. Returns true if it may have run.
+   */
   private withdraw(outcome: string): boolean {
     const { current } = this;
     this.current = undefined;
--- a/src/direct/run/suspicion.ts
+++ b/src/direct/run/suspicion.ts
@@ -7,9 +7,9 @@
 /** Whether a request may be sent to an upstream. */
 type Permission =
   | 'free'
-  /** An upstream crashed under it before: the order lease holder has to permit the run. */
+  /** An upstream crashed while it ran the request: the order lease holder has to permit another run. */
   | 'ask-first'
-  /** It crashes the upstreams that run it. */
+  /** The request crashes the upstreams that run it. */
   | 'barred';
 
 /** Whether one request is suspected, because upstreams crashed under the same content at any entry. */
--- a/src/direct/selfreport/index.ts
+++ b/src/direct/selfreport/index.ts
@@ -1,4 +1,4 @@
-/** State that upstreams report of themselves in answers: how entries keep it, obey it and share it. */
+/** State that upstreams report of themselves in answers: how entries store, apply and share it. */
 export type { SlotAnswer } from './slotanswer.js';
 export type { SlotRequest } from './slotrequest.js';
 export { SlotSchedule } from './slotschedule.js';
--- a/src/direct/selfreport/reportedstates.ts
+++ b/src/direct/selfreport/reportedstates.ts
@@ -18,7 +18,7 @@
   readonly sentBefore: number;
   /** When it learned of that limit. */
   readonly limitedAtMs: Ms;
-  /** When this entry first learned that it leaves. */
+  /** When this entry first learned that the upstream leaves. */
   readonly leavesAtMs: Ms;
 }
 
@@ -37,7 +37,7 @@
 
 /**
  * The reported states of upstreams, by incarnation. They are kept apart from the list: a list record may be older than
- * an answer, or lapse and come back while its upstream leaves.
+ * an answer, or expire and be written again while its upstream is leaving.
  */
 export class ReportedStates {
   private readonly incarnations = new Map<UpstreamId, Incarnation>();
@@ -91,7 +91,7 @@
     return [before, after];
   }
 
-  /** Notes how much this entry had sent when it learned of a limit. */
+  /** Records how many requests this entry had sent when it learned of a limit. */
   noteSent(id: UpstreamId, sentBefore: number): void {
     const incarnation = this.incarnations.get(id);
     if (!incarnation) return;
@@ -134,7 +134,7 @@
   private updateFrom(upstream: UpstreamId, incarnation: Incarnation): ReportedStateUpdate {
     const { startedAtMs, state, limitedAtMs } = incarnation;
     const { ratePerS, rateAtMs } = state;
-    // Requests from before the window are of no interest to a holder that has just taken over.
+    // A holder that has just taken over needs only the requests within the window.
     const isInWindow = this.clock.nowMs() - limitedAtMs < rateRules.windowMs;
     const sentBefore = isInWindow ? incarnation.sentBefore : 0;
     const isLeaving = state.isLeaving || undefined;
--- a/src/direct/selfreport/reportedstateupdate.ts
+++ b/src/direct/selfreport/reportedstateupdate.ts
@@ -1,6 +1,6 @@
 import type { Ms, UpstreamId } from '../../base/index.js';
 
-/** What an entry passes on to another one of an upstream's reported state. */
+/** The part of an upstream's reported state that an entry sends to another one. */
 export interface ReportedStateUpdate {
   readonly upstream: UpstreamId;
   /** Identifies the incarnation that reported it; absent where upstreams do not report their start. */
--- a/src/direct/selfreport/slotanswer.ts
+++ b/src/direct/selfreport/slotanswer.ts
@@ -4,7 +4,7 @@
 export type SlotAnswer =
   /** One request may be sent now. */
   | { readonly type: 'granted' }
-  /** Other requests come first; asking again is of no use before about `inMs`. */
+  /** Other requests come first. Asking again before about `inMs` have passed is useless. */
   | { readonly type: 'later'; readonly inMs: Ms }
   /** The upstream has no limit any more. */
   | { readonly type: 'unlimited' }
--- a/src/direct/selfreport/slotclient.ts
+++ b/src/direct/selfreport/slotclient.ts
@@ -56,7 +56,10 @@
     if (slot) held.slots.splice(held.slots.indexOf(slot), 1);
   }
 
-  /** Asks for a slot at one of the upstreams that a request could be sent to, once at a time per request. */
+  /**
+   * Asks for a slot at one of the upstreams that a request could be sent to. At most one slot request per waiter is
+   * outstanding.
+   */
   request(upstreams: readonly UpstreamId[], ask: SlotWaiter, nowMs: Ms): void {
     if (this.pending.has(keyOf(ask)) || this.pending.size >= rateRules.maxOutstanding) return;
     let best: Held | undefined;
--- a/src/direct/selfreport/slotqueue.ts
+++ b/src/direct/selfreport/slotqueue.ts
@@ -95,7 +95,7 @@
     return this.waiters.splice(first, 1)[0]!;
   }
 
-  /** Returns the answer for a waiter that gets no slot: it may retry when the queue before it may have been served. */
+  /** Returns the answer for a waiter that gets no slot: it can ask again after the expected time to serve the queue. */
   private later(): SlotAnswer {
     const { minBackoffMs: leastPauseMs, maxBackoffMs: mostPauseMs } = rateRules;
     const nextInMs = this.nextAtMs - this.options.clock.nowMs();
--- a/src/direct/selfreport/slotschedule.ts
+++ b/src/direct/selfreport/slotschedule.ts
@@ -35,7 +35,7 @@
     this.tookAtMs = this.options.clock.nowMs();
   }
 
-  /** Takes in an upstream's limit from an entry. */
+  /** Applies an upstream's limit as reported by an entry. */
   addUpdate(entry: string, news: ReportedStateUpdate, ratePerS: number): void {
     const schedule = this.scheduleOf(news, ratePerS);
     schedule.queue.rate(ratePerS);
--- a/src/direct/selfreport/upstreamgate.ts
+++ b/src/direct/selfreport/upstreamgate.ts
@@ -52,7 +52,7 @@
     });
   }
 
-  /** Takes in the report in the head of an answer to a request of this entry. */
+  /** Applies the report in the head of an answer to a request of this entry. */
   onAnswer(upstream: Upstream, report: SelfReport): void {
     const before = this.standings.of(upstream);
     const after = this.standings.applyAnswer(upstream, report);
@@ -63,8 +63,9 @@
   }
 
   /**
-   * Returns a list record with the upstream's reported state applied. An incarnation that leaves keeps leaving,
-   * whatever the list says: the list may be seconds older than an answer, and minutes during an outage of the store.
+   * Returns a list record with the upstream's reported state applied. An incarnation that leaves stays marked as
+   * leaving, whatever the list says: the list may be seconds older than an answer, and minutes during an outage of the
+   * store.
    */
   withReportedState(upstream: Upstream): Upstream {
     if (upstream.isLeaving || !this.standings.of(upstream).isLeaving) return upstream;
@@ -75,7 +76,8 @@
 
   blockOf(upstream: Upstream, nowMs: Ms, requestId?: string): Block | undefined {
     const { backoffUntilMs, ratePerS } = this.standings.of(upstream);
-    // A backoff blocks the upstream: one that is only ranked last still gets requests whenever the others are busy.
+    // A backoff blocks the upstream: if it were only ranked last, it would still get requests whenever the others are
+    // busy.
     if (backoffUntilMs > nowMs) return { reason: 'paused', opensInMs: backoffUntilMs - nowMs };
     if (ratePerS === undefined) return undefined;
     const opensInMs = this.client.opensInMs(upstream.id, nowMs, requestId);
@@ -108,7 +110,10 @@
     this.client.take(upstream.id, nowMs, requestId);
   }
 
-  /** Returns the limit that planning should use. A limit not confirmed for long may be over and is ignored. */
+  /**
+   * Returns the limit that planning should use. A limit that has not been confirmed for long may have ended and is
+   * ignored.
+   */
   limitOf(upstream: Upstream): number | undefined {
     const { ratePerS, rateAtMs } = this.standings.of(upstream);
     return this.options.clock.nowMs() - rateAtMs > rateRules.believedMs ? undefined : ratePerS;
--- a/src/direct/sync/changelog.ts
+++ b/src/direct/sync/changelog.ts
@@ -65,7 +65,7 @@
     return { changes, revision: Math.max(revision, this.lastRevision) as Revision };
   }
 
-  /** Calls back at each addition. Returns the function that ends this. */
+  /** Calls back at each addition. Returns a function that unsubscribes. */
   watch(act: () => void): () => void {
     this.waiting.add(act);
     return () => this.waiting.delete(act);
--- a/src/direct/sync/pacetable.ts
+++ b/src/direct/sync/pacetable.ts
@@ -1,6 +1,6 @@
 import type { FollowPace } from './followpace.js';
 
-/** From whom and for whom an entry reads changes. */
+/** Where an entry reads changes (the store or another entry), and whether it shares them with other entries. */
 type Reader = 'alone' | 'sharer' | 'moving' | 'shared';
 
 /**
@@ -11,7 +11,7 @@
 export const paceTable: Readonly<Record<Reader, FollowPace>> = {
   /** From the store, for itself only. */
   alone: { waitMs: 1000, batchMs: 400 },
-  /** From the store, for all entries: the state gets at most two waits and a pause old, see `SharedFeed`. */
+  /** From the store, for all entries: the state is at most two waits and one pause old, see `SharedFeed`. */
   sharer: { waitMs: 300, batchMs: 200 },
   /** From the store, for all entries, while a move waits for the effect of an order. */
   moving: { waitMs: 300, batchMs: 150 },
--- a/src/direct/sync/sharedfeed.ts
+++ b/src/direct/sync/sharedfeed.ts
@@ -123,7 +123,8 @@
     const { clock, log, ask } = this.options;
     const answer = await ask(address, { after, waitMs: SHARED_WAIT_MS });
     if (answer?.ok) return answer;
-    // An entry that does not reach back far enough is used again once this one has read the rest from the store.
+    // An entry whose log does not reach back far enough is used again once this entry has read the missing changes from
+    // the store.
     if (answer?.val.type === 'store-compacted') return undefined;
     this.distrusted = { address, untilMs: clock.nowMs() + DISTRUST_MS };
     const detail = answer?.val.detail ?? 'No answer.';
--- a/src/direct/targetfinder.ts
+++ b/src/direct/targetfinder.ts
@@ -19,16 +19,16 @@
   ordersInMs(): Ms;
 }
 
-/** What a waiting request contributes to the decision how long it waits. */
+/** Properties of a waiting request that decide how long it waits. */
 type Waiter = Omit<ResidencyWait, 'inMs' | 'isUnderWay'>;
 
 /** Duration of a plan and a load from disk, once there is an order lease holder. */
 const UNPLANNED_MS = 900;
 const POLL_MS = 25;
 /**
- * How long an answer other than "ready", or its absence, is reused for requests with the same target. When it was
- * asked for each request, a holder with an eighth of a core left 317 of 1,400 requests unanswered, and callers were
- * refused after 409 ms (80th percentile) and not at once.
+ * How long an answer other than "ready", or its absence, is reused for requests with the same target. When the holder
+ * was asked for each request, one with an eighth of a core left 317 of 1,400 requests unanswered, and callers were
+ * refused after 409 ms (80th percentile) instead of at once.
  */
 const REUSE_MS = 150;
 
@@ -81,7 +81,7 @@
         return { type: 'unavailable', reason: 'not-resident', detail, retryAfterMs };
       }
       const untilMs = clock.nowMs() + inMs;
-      // At least one delay, also if no time is left: the loop must not block the event loop.
+      // Waits at least once, even if no time is left, because the loop must not block the event loop.
       do await this.pause(POLL_MS);
       while (clock.nowMs() < untilMs && !this.isLoaded(target));
       if (this.isLoaded(target)) return { type: 'ready' };
@@ -108,7 +108,7 @@
     return false;
   }
 
-  /** Asks the holder. Requests with the same target share a call and reuse a recent answer. */
+  /** Asks the order lease holder. Requests with the same target share a call and reuse a recent answer. */
   private ask(target: Target): Promise<FindAnswer | undefined> {
     const key = `${target.service}/${target.model}/${target.adapter ?? ''}`;
     const known = this.pending.get(key);
--- a/src/entry/component/binding.ts
+++ b/src/entry/component/binding.ts
@@ -8,7 +8,7 @@
     }
   | {
       /**
-       * Every attempt goes to the upstream that holds this ticket, and nowhere else. The head of each attempt carries
+       * Every attempt is sent to the upstream that holds this ticket, and to no other. The head of each attempt carries
        * `ticket` and `choice.incarnation`.
        */
       readonly type: 'bound';
--- a/src/entry/component/router.ts
+++ b/src/entry/component/router.ts
@@ -12,7 +12,7 @@
   choose(request: RouteRequest): Promise<Result<Choice, Refusal>>;
   /** Records how an attempt ended. */
   recordOutcome(outcome: Outcome): void;
-  /** Releases what is kept for a request that needs no upstream any more, however it ended. */
+  /** Releases the state kept for a request that needs no upstream any more, however it ended. */
   release(service: ServiceId, requestId: RequestId): void;
   /** Records an observation of an upstream's liveness that does not come from a caller's request. */
   observe(service: ServiceId, event: MemberEvent): void;
--- a/src/entry/connections.ts
+++ b/src/entry/connections.ts
@@ -20,7 +20,7 @@
     server.on(event, (socket: Socket) => this.add(socket));
   }
 
-  /** False for a connection that was opened when the limit had been reached. */
+  /** False for a connection that was opened after the limit had been reached. */
   isAdmitted(socket: Socket): boolean {
     return this.admitted.has(socket);
   }
--- a/src/entry/handler/readiness.ts
+++ b/src/entry/handler/readiness.ts
@@ -4,7 +4,7 @@
 const READY_STATUS = 200;
 const UNREADY_STATUS = 503;
 
-/** `GET /readyz`: tells a load balancer whether it may send callers to this entry. */
+/** `GET /readyz`: reports to a load balancer whether it may send callers to this entry. */
 export const readiness: Handler = ({ gate, directory }, caller) => {
   const caughtUp = directory.caughtUp();
   const leaving = !gate.ready();
--- a/src/entry/link/link.ts
+++ b/src/entry/link/link.ts
@@ -4,7 +4,7 @@
 
 /** Connections to sidecars, each opened on first use. */
 export interface Link {
-  /** Sends one attempt of a request; what comes back goes to the receiver. */
+  /** Sends one attempt of a request; the frames of its answer go to the receiver. */
   ask(
     sidecarAddress: string,
     requestId: string,
--- a/src/port/audit.ts
+++ b/src/port/audit.ts
@@ -1,6 +1,6 @@
 import type { Ms } from '../base/index.js';
 
-/** The audit trail, with one entry for each act that changes something. */
+/** The audit trail, with one entry for each action that changes state. */
 export interface Audit {
   write(entry: {
     readonly wallMs: Ms;
--- a/src/port/enginereport.ts
+++ b/src/port/enginereport.ts
@@ -1,6 +1,6 @@
 import type { AdapterId, Incarnation, ModelId, Ms } from '../base/index.js';
 
-/** The state that an engine reports of itself. It lags behind the engine. */
+/** The state that an engine reports of itself. It may be older than the engine's actual state. */
 export interface EngineReport {
   /** Changes when the engine restarts. Its memory is empty after a restart. */
   readonly engineId: string;
--- a/src/shell/engine/httpanswer.ts
+++ b/src/shell/engine/httpanswer.ts
@@ -65,7 +65,8 @@
 
 /** Converts an HTTP response to a stream of pieces, which are read as they arrive. */
 export function httpAnswer(response: Dispatcher.ResponseData, reading: AnswerFormat): AnswerStream {
-  // The iterator of the pieces reports errors. A reader that stops early causes an error that nobody would handle.
+  // The iterator of the pieces reports errors. A reader that stops early causes an error event, which would be uncaught
+  // without a listener.
   response.body.on('error', () => {});
   const pieces = read(response.body as AsyncIterable<Buffer>, reading);
   return { status: response.statusCode, headers: headersOf(response), pieces };
--- a/src/shell/log/createboundedlog.ts
+++ b/src/shell/log/createboundedlog.ts
@@ -11,7 +11,10 @@
   readonly clock: Clock;
 }
 
-/** Lines per second. One line costs 26 to 44 us, so both limits together take at most 3% of half a core. */
+/**
+ * Lines per second. One line takes 26 to 44 us of processor time, so both limits together use at most 3% of half a
+ * core.
+ */
 const LINES_PER_SECOND = { ordinary: 120, important: 200 };
 /** No lines are written while this much output is buffered: about 3 s at the full rate. */
 const MAX_BUFFERED_BYTES = 262_144;
--- a/src/shell/rpc/channeloptions.ts
+++ b/src/shell/rpc/channeloptions.ts
@@ -15,8 +15,8 @@
 
 /**
  * gRPC channel options of client and server. A client detects a frozen or disconnected server within the sum of its two
- * keepalive times. A server loses less by a dead client and pings less often: the pings of an entry with a thousand
- * sidecars have to fit into a few kilobytes per second.
+ * keepalive times. A dead client costs a server less, so a server pings less often: the pings of an entry with a
+ * thousand sidecars have to fit into a few kilobytes per second.
  */
 export const channelOptions = {
   client: {
--- a/src/sidecar/admission/queueadmission.ts
+++ b/src/sidecar/admission/queueadmission.ts
@@ -37,7 +37,7 @@
 /** Outcome of an offer: a slot, or a refusal. */
 type Place = Result<Slot, Refusal>;
 
-/** A request from its offer to its end: queued or running. */
+/** A request that was offered and has not ended yet: queued or running. */
 interface ActiveRequest {
   readonly head: RequestHead;
   readonly offeredAtMs: Ms;
--- a/src/sidecar/exchange.ts
+++ b/src/sidecar/exchange.ts
@@ -42,11 +42,12 @@
     stream.on('end', () => this.end());
     stream.on('cancelled', () => this.close());
     stream.on('error', () => this.close());
-    // Tells the entry that the stream is open. A request that it had not sent before this cannot have run.
+    // Signals to the entry that the stream is open. The entry sends no request before this, so none can have run
+    // earlier.
     stream.sendMetadata(new Metadata());
   }
 
-  /** Tells the entry to send no further requests here, and to end the stream when its requests are done. */
+  /** Asks the entry to send no further requests here, and to end the stream when its requests are done. */
   leave(): void {
     this.batcher.flush(true);
   }
--- a/src/sidecar/exchanges.ts
+++ b/src/sidecar/exchanges.ts
@@ -27,7 +27,7 @@
     if (this.leaving) exchange.leave();
   }
 
-  /** Tells every entry that this sidecar is stopping. */
+  /** Notifies every entry that this sidecar is stopping. */
   leave(): void {
     this.leaving = true;
     for (const exchange of this.live) exchange.leave();
--- a/src/sidecar/fifoadmission.ts
+++ b/src/sidecar/fifoadmission.ts
@@ -4,7 +4,7 @@
 import type { Refusal, RequestHead, UpstreamLoad } from '../wire/index.js';
 import type { Admission, Slot } from './part/index.js';
 
-/** First-in-first-out admission with a fixed number of slots. */
+/** First-in, first-out admission with a fixed number of slots. */
 export class FifoAdmission implements Admission {
   private running = 0;
 
--- a/src/sidecar/handover/findholders.ts
+++ b/src/sidecar/handover/findholders.ts
@@ -44,7 +44,10 @@
   };
 }
 
-/** Asks the other sidecars of the service for their current records; the own board holds only the own record. */
+/**
+ * Asks the other sidecars of the service for their current records; the board of a sidecar holds only the sidecar's own
+ * record.
+ */
 export async function findHolders(ports: Ports): Promise<FoundHolder[]> {
   const peers = peersOf(ports).slice(0, PEER_LIMIT);
   const found = peers.map(async ({ sidecarAddress }) => {
--- a/src/sidecar/requestrunner.ts
+++ b/src/sidecar/requestrunner.ts
@@ -23,7 +23,8 @@
 
   /** Runs one request. Sends its complete answer, a refusal, or an end frame with a failure type. */
   async run(requestId: string, head: RequestHead, sink: AnswerSink): Promise<void> {
-    // A request with a ticket may have run before: the run-once table answers it. It accepts nothing new either.
+    // A request with a ticket may have run before: the run-once table answers it. During a stop the table lets no new
+    // request run either.
     if (this.leaving && !head.ticket) {
       const value = refuse('upstream-leaving', 'Upstream is draining.');
       sink.send({ $case: 'refusal', value });
--- a/src/sidecar/residency/enginedrain.ts
+++ b/src/sidecar/residency/enginedrain.ts
@@ -23,7 +23,7 @@
   readonly publish: () => void;
 }
 
-/** Shell of the drain core: passes on why the drain began, what is in flight, and which models are unplaced. */
+/** Shell of the drain core: reports to it why the drain began, what is in flight, and how many models are unplaced. */
 export class EngineDrain {
   private state: DrainState = servingDrain(PLACE_TIMEOUT_MS);
 
--- a/src/sidecar/runonce/handovertable.ts
+++ b/src/sidecar/runonce/handovertable.ts
@@ -21,7 +21,10 @@
   });
 }
 
-/** Returns true if the peer accepted every piece. Pieces of a refused table can stay there: they are correct. */
+/**
+ * Returns true if the peer accepted every piece. Pieces that a peer accepted before a refusal can stay there: they are
+ * correct.
+ */
 async function sendTable(
   state: TableState,
   sidecarAddress: string,
--- a/src/sidecar/work.ts
+++ b/src/sidecar/work.ts
@@ -78,7 +78,7 @@
     }
     const { start, record } = permit.val;
     const refusal = await this.admitAndRun(start).catch((thrown: unknown) => {
-      // If a part throws, its ticket must not stay in phase running: repeats would wait for ever.
+      // If a part throws, its ticket must not stay in phase `running`: repeats would wait indefinitely.
       record({ type: 'unknown' });
       throw thrown;
     });
