--- a/bench/memory/platform.ts
+++ b/bench/memory/platform.ts
@@ -4,7 +4,7 @@
 import { Daemon } from '../../demo/daemon.js';
 import { freePorts } from '../../demo/freeports.js';
 import { loopbackHost } from '../../demo/loopbackhost.js';
-import { operator } from '../../demo/operator.js';
+import { runOperatorCommand } from '../../demo/runoperatorcommand.js';
 import { FakeHostList, MemoryStore, StoreServer } from '../../standin/index.js';
 import { serviceDocument } from './servicedocument.js';
 
@@ -33,7 +33,7 @@
     const file = join(this.directory, 'document.jsonc');
     writeFileSync(file, JSON.stringify(document, null, 2));
     const team = ['--team', serviceDocument.owner, '--store', this.storeUrl];
-    await operator('apply', file, '--expect', '0', ...team);
+    await runOperatorCommand('apply', file, '--expect', '0', ...team);
     const host = loopbackHost();
     const [meshPort = 0] = await freePorts(host, 1);
     const address = `${host}:${meshPort}`;
--- a/bench/once/check.ts
+++ b/bench/once/check.ts
@@ -1,38 +1,38 @@
 import fc from 'fast-check';
-import { play } from './play.js';
+import { runInterleaving } from './runinterleaving.js';
 
-/** Longest interleaving. */
-const MAX_ACTS = 120;
+/** Largest number of actions in an interleaving. */
+const MAX_ACTIONS = 120;
 
 const PICK_LIMIT = 2 ** 31 - 1;
 
-/** What a run of the checker found. */
-interface Found {
+/** Result of a run of the checker. */
+interface CheckResult {
   readonly interleavings: number;
   readonly acts: number;
-  /** Runs at the service and what callers were told, over all interleavings. */
+  /** Number of runs at the service and of each outcome at callers, over all interleavings. */
   readonly counts: Readonly<Record<string, number>>;
   readonly violation: string | undefined;
-  /** The shortest interleaving that was found to violate a promise. */
+  /** The shortest interleaving found that violates a promise. */
   readonly counterexample: readonly string[];
 }
 
-/** Plays so many random interleavings of one seed, and stops at the first broken promise. */
-export function check(interleavings: number, seed: number): Found {
+/** Runs random interleavings drawn from a seed until one violates a promise. */
+export function check(interleavings: number, seed: number): CheckResult {
   const counts: Record<string, number> = {};
   let acts = 0;
-  let played = 0;
+  let finished = 0;
   const property = fc.property(
     fc.array(fc.noBias(fc.nat({ max: PICK_LIMIT })), {
       minLength: 10,
-      maxLength: MAX_ACTS,
+      maxLength: MAX_ACTIONS,
       size: 'max',
     }),
     (picks) => {
-      const { witness } = play(picks);
-      played += 1;
+      const { oracle } = runInterleaving(picks);
+      finished += 1;
       acts += picks.length;
-      for (const [name, count] of Object.entries(witness.counts)) {
+      for (const [name, count] of Object.entries(oracle.counts)) {
         counts[name] = (counts[name] ?? 0) + count;
       }
     },
@@ -41,16 +41,16 @@
   let trace: readonly string[] = [];
   if (counterexample) {
     try {
-      play(counterexample[0], true, (lines) => {
+      runInterleaving(counterexample[0], true, (lines) => {
         trace = lines;
       });
     } catch {
-      // The violation is the trace's last line.
+      // The violation is the last line of the trace.
     }
   }
   const thrown = errorInstance instanceof Error ? errorInstance : undefined;
-  // Anything else that is thrown is a fault of the checker, not a finding.
+  // Any other error is a fault of the checker, not a finding.
   if (thrown && thrown.name !== 'Violation') throw thrown;
   const violation = thrown?.message;
-  return { interleavings: played, acts, counts, violation, counterexample: trace };
+  return { interleavings: finished, acts, counts, violation, counterexample: trace };
 }
--- a/bench/once/modelentry.ts
+++ b/bench/once/modelentry.ts
@@ -10,30 +10,31 @@
 } from '../../src/core/idempotency/index.js';
 import { refuse } from '../../src/core/refusal/index.js';
 import { Executed, type Refusal } from '../../src/wire/index.js';
-import { LIMITS, type ModelSidecar, type Reply, type Send } from './modelsidecar.js';
+import { modelLimits, type ModelSidecar, type Reply, type Send } from './modelsidecar.js';
 import type { ModelStore, StoreAnswer } from './modelstore.js';
 import type { Network, Process } from './network.js';
-import type { Witness } from './witness.js';
+import type { RunOracle } from './runoracle.js';
 
 const ATTEMPT_LIMIT = 3;
 
 const UNKNOWN = { executed: Executed.EXECUTED_UNKNOWN };
 
-/** A send with what its caller holds: a ticket, or a key. */
+/** A request as a caller sends it, with a ticket or with an idempotency key. */
 interface CallerSend extends Send {
   readonly ticket: string | undefined;
-  /** Upstream that a new ticket would be asked of. */
+  /** Upstream whose sidecar would issue a new ticket. */
   readonly upstream: UpstreamId;
+  /** False if the entry has no store write left for a mapping. */
   readonly isAffordable: boolean;
 }
 
-/** What the entries share. */
-interface Surroundings {
+/** Dependencies that the entries share. */
+interface Environment {
   readonly network: Network;
-  readonly witness: Witness;
+  readonly oracle: RunOracle;
   readonly store: ModelStore;
   readonly nowMs: () => number;
-  /** The sidecar that answers at an upstream's address. */
+  /** Returns the sidecar at an upstream's address. */
   readonly sidecarAt: (upstream: UpstreamId) => ModelSidecar;
   /** The caller's end of the connection. */
   readonly caller: Process;
@@ -45,18 +46,18 @@
   return { type: 'found', value: answer.value };
 }
 
-/** One entry: the real mapping, routing and conclusion, with modelled calls between them. */
+/** An entry: the real mapping, ticket routing and final refusal, with modelled calls to store and sidecars. */
 export class ModelEntry implements Process {
   alive = true;
 
   paused = false;
 
-  /** What this entry has heard of sidecars. */
+  /** Incarnations and heirs of sidecars that this entry has been notified of. */
   readonly heard = { incarnations: new Map<string, Incarnation>(), heirs: new Map<string, Heir>() };
 
   private lease: { leaseId: string; askedAtMs: number; ttlMs: number } | undefined;
 
-  constructor(private readonly around: Surroundings) {}
+  constructor(private readonly environment: Environment) {}
 
   take(send: CallerSend): void {
     if (send.ticket === undefined) this.map(send);
@@ -64,11 +65,11 @@
   }
 
   private map(send: CallerSend): void {
-    const { store, witness, nowMs } = this.around;
+    const { store, oracle, nowMs } = this.environment;
     const arrivedAtMs = nowMs();
     let { state } = startMapping(send.hash, arrivedAtMs);
     let runs: number | undefined;
-    const happen = (event: MappingEvent) => {
+    const onEvent = (event: MappingEvent) => {
       const change = stepMapping(state, event, nowMs());
       state = change.state;
       // eslint-disable-next-line @typescript-eslint/no-use-before-define -- an effect's outcome is the next event
@@ -77,46 +78,49 @@
     const ask = {
       from: this,
       key: `${send.customer}/${send.group}`,
-      runs: () => witness.runsOf(send.request),
-      created: () => witness.mapped(send.group, send.request),
+      runs: () => oracle.runsOf(send.request),
+      created: () => oracle.mapped(send.group, send.request),
       done: (answer: StoreAnswer | undefined) => {
         if (answer?.type === 'found') ({ runs } = answer);
-        happen(eventOf(answer));
+        onEvent(eventOf(answer));
       },
     };
     const perform = (effect: MappingEffect) => {
-      if (effect.type === 'ask-ticket') this.askTicket(send, happen);
+      if (effect.type === 'ask-ticket') this.askTicket(send, onEvent);
       if (effect.type === 'read') store.read(ask);
-      if (effect.type === 'create') store.create(ask, effect.value, this.leaseFor(arrivedAtMs));
+      if (effect.type === 'create') store.create(ask, effect.value, this.leaseExpiry(arrivedAtMs));
       if (effect.type === 'bind') this.attempt(send, effect.ticket, []);
       if (effect.type !== 'refuse') return;
-      this.tell(send, { type: 'refusal', refusal: effect.refusal, runs: runs ?? ask.runs() });
+      this.reply(send, { type: 'refusal', refusal: effect.refusal, runs: runs ?? ask.runs() });
     };
     if (send.isAffordable) perform({ type: 'ask-ticket' });
-    else happen({ type: 'unaffordable', retryAfterMs: 1 });
+    else onEvent({ type: 'unaffordable', retryAfterMs: 1 });
   }
 
-  /** Time at which the lease lapses that a mapping is to be made under. */
-  private leaseFor(arrivedAtMs: number): number {
-    const validMs = LIMITS.maxValidMs;
+  /** Returns when the lease expires under which a mapping is created. */
+  private leaseExpiry(arrivedAtMs: number): number {
+    const validMs = modelLimits.maxValidMs;
     if (!this.lease || !sharedLease.covers(this.lease, arrivedAtMs, validMs)) {
       const ttlMs = sharedLease.ttlMs(validMs);
-      this.lease = { leaseId: 'l', askedAtMs: this.around.nowMs(), ttlMs };
+      this.lease = { leaseId: 'l', askedAtMs: this.environment.nowMs(), ttlMs };
     }
     return this.lease.askedAtMs + this.lease.ttlMs;
   }
 
-  private askTicket(send: CallerSend, happen: (event: MappingEvent) => void): void {
-    const sidecar = this.around.sidecarAt(send.upstream);
-    this.around.network.call<string | Refusal>({
+  private askTicket(send: CallerSend, onEvent: (event: MappingEvent) => void): void {
+    const sidecar = this.environment.sidecarAt(send.upstream);
+    this.environment.network.call<string | Refusal>({
       label: `ask ${send.upstream} for a ticket for send ${send.id}`,
       from: this,
       to: sidecar,
       serve: (reply) => sidecar.issue(send.customer, reply),
       done: (answer) => {
-        const refusal = refuse('sidecar-unreachable', 'No ticket came.');
-        if (typeof answer === 'string') happen({ type: 'issued', ticket: answer });
-        else happen({ type: 'unissued', refusal: answer ?? refusal });
+        const refusal = refuse(
+          'sidecar-unreachable',
+          'The sidecar did not answer the request for a ticket.',
+        );
+        if (typeof answer === 'string') onEvent({ type: 'issued', ticket: answer });
+        else onEvent({ type: 'unissued', refusal: answer ?? refusal });
       },
     });
   }
@@ -127,45 +131,45 @@
       heirOf: ({ upstream, incarnation }) => this.heard.heirs.get(`${upstream}.${incarnation}`),
     });
     if (place.err) {
-      this.refused(send, [...before, place.val], this.around.witness.runsOf(send.request));
+      this.replyRefusal(send, [...before, place.val], this.environment.oracle.runsOf(send.request));
       return;
     }
-    const sidecar = this.around.sidecarAt(place.val.upstream);
-    this.around.network.call<Reply>({
+    const sidecar = this.environment.sidecarAt(place.val.upstream);
+    this.environment.network.call<Reply>({
       label: `send ${send.id} of ${send.request} under ${ticket}`,
       from: this,
       to: sidecar,
       serve: (reply) => sidecar.begin(ticket, send, reply),
-      done: (reply) => this.attempted(send, ticket, before, reply),
+      done: (reply) => this.onReply(send, ticket, before, reply),
     });
   }
 
-  private attempted(
+  private onReply(
     send: CallerSend,
     ticket: string,
     before: readonly Refusal[],
     reply: Reply | undefined,
   ): void {
     if (reply?.type === 'answer') {
-      this.tell(send, reply);
+      this.reply(send, reply);
       return;
     }
-    const lost = refuse('sidecar-lost', 'No answer came.', UNKNOWN);
+    const lost = refuse('sidecar-lost', 'The sidecar did not answer.', UNKNOWN);
     const refusals = [...before, reply?.refusal ?? lost];
-    const isSilent = reply === undefined;
-    if (isSilent && refusals.length < ATTEMPT_LIMIT) this.attempt(send, ticket, refusals);
-    else this.refused(send, refusals, reply?.runs ?? 0);
+    const isUnanswered = reply === undefined;
+    if (isUnanswered && refusals.length < ATTEMPT_LIMIT) this.attempt(send, ticket, refusals);
+    else this.replyRefusal(send, refusals, reply?.runs ?? 0);
   }
 
-  private refused(send: CallerSend, refusals: readonly Refusal[], runs: number): void {
-    this.tell(send, { type: 'refusal', refusal: finalRefusal(refusals), runs });
+  private replyRefusal(send: CallerSend, refusals: readonly Refusal[], runs: number): void {
+    this.reply(send, { type: 'refusal', refusal: finalRefusal(refusals), runs });
   }
 
-  private tell(send: Send, reply: Reply): void {
-    const { network, witness, caller } = this.around;
-    network.tell(`tell the caller of send ${send.id}`, caller, () => {
-      if (reply.type === 'answer') witness.answered(send.request, reply.text);
-      else witness.refused(send.request, send.id, reply.refusal, reply.runs);
+  private reply(send: Send, reply: Reply): void {
+    const { network, oracle, caller } = this.environment;
+    network.send(`tell the caller of send ${send.id}`, caller, () => {
+      if (reply.type === 'answer') oracle.answered(send.request, reply.text);
+      else oracle.refused(send.request, send.id, reply.refusal, reply.runs);
     });
   }
 }
--- a/bench/once/modelsidecar.ts
+++ b/bench/once/modelsidecar.ts
@@ -9,28 +9,28 @@
 } from '../../src/core/ticket/index.js';
 import { Executed, type Refusal, type TicketTable } from '../../src/wire/index.js';
 import type { Network, Process } from './network.js';
-import type { Witness } from './witness.js';
+import type { RunOracle } from './runoracle.js';
 
-export const LIMITS = { tableBytes: 1_000_000, answerBytes: 100_000, maxValidMs: 1000 };
-export const SERVICE = 'register' as ServiceId;
+export const modelLimits = { tableBytes: 1_000_000, answerBytes: 100_000, maxValidMs: 1000 };
+export const modelService = 'register' as ServiceId;
 
-/** A request under a ticket, as an entry sends it. */
+/** A request as it is sent once. */
 export interface Send {
   readonly id: number;
-  /** Whose request it is; sends of one request share its ticket or key. */
+  /** Name of the request; all sends of one request have the same ticket or key. */
   readonly request: string;
-  /** Ticket or key of which at most one request may run. */
+  /** Ticket or key for which at most one request may run. */
   readonly group: string;
   readonly customer: CustomerId;
   readonly hash: string;
 }
 
-/** What a sidecar answers to a send. */
+/** A sidecar's reply to a send. */
 export type Reply =
   | { readonly type: 'answer'; readonly text: string }
   | { readonly type: 'refusal'; readonly refusal: Refusal; readonly runs: number };
 
-/** A request that the table let through and that waits for a slot. */
+/** A request that the ticket table has accepted and that waits for a slot. */
 interface Queued {
   readonly send: Send;
   readonly ticket: string;
@@ -38,15 +38,15 @@
   readonly arrivedLeaving: boolean;
 }
 
-/** What the sidecars share. */
-interface Surroundings {
+/** Dependencies that the sidecars share. */
+interface Environment {
   readonly network: Network;
-  readonly witness: Witness;
+  readonly oracle: RunOracle;
   readonly service: Process;
   readonly nowMs: () => number;
 }
 
-/** One incarnation of a sidecar: the real table, with a queue and a service behind it. */
+/** One incarnation of a sidecar: the real ticket table, with a modelled queue and service. */
 export class ModelSidecar implements Process {
   alive = true;
 
@@ -54,7 +54,7 @@
 
   leaving = false;
 
-  /** When each ticket that was issued here may no longer be run. */
+  /** When each ticket that was issued here expires. */
   readonly expiries: Map<string, number>;
 
   private table;
@@ -63,7 +63,7 @@
 
   private queue: Queued[] = [];
 
-  /** Sent to the service and not ended yet. */
+  /** Number of requests that were sent to the service and have not ended. */
   private running = 0;
 
   private readonly waiting = new Map<string, (effect: TableEffect) => void>();
@@ -71,9 +71,9 @@
   constructor(
     readonly upstream: UpstreamId,
     readonly incarnation: Incarnation,
-    private readonly around: Surroundings,
+    private readonly environment: Environment,
   ) {
-    this.table = openTable(upstream, incarnation, LIMITS, around.nowMs());
+    this.table = openTable(upstream, incarnation, modelLimits, environment.nowMs());
     this.expiries = new Map();
   }
 
@@ -85,14 +85,14 @@
       type: 'issue',
       callId,
       customer,
-      service: SERVICE,
+      service: modelService,
       validMs: 0,
       secret,
     } as const;
     const [effect] = this.step(event);
     if (effect?.type === 'refuse') reply(effect.refusal);
     if (effect?.type !== 'issued') return;
-    this.expiries.set(effect.reply.ticket, this.around.nowMs() + effect.reply.validMs);
+    this.expiries.set(effect.reply.ticket, this.environment.nowMs() + effect.reply.validMs);
     reply(effect.reply.ticket);
   }
 
@@ -106,11 +106,11 @@
       if (effect.type === 'refuse') this.refuse(ticket, send, effect.refusal, reply);
     });
     const { customer, hash } = send;
-    const event = { callId, ticket, customer, service: SERVICE, requestHash: hash } as const;
+    const event = { callId, ticket, customer, service: modelService, requestHash: hash } as const;
     this.step({ type: 'begin', ...event });
   }
 
-  /** Gives one queued request its slot, or refuses it. */
+  /** Gives a queued request a slot, or refuses it if `isFull`. */
   admit(pick: number, isFull: boolean): void {
     if (!this.alive || this.paused || this.queue.length === 0) return;
     const [work] = this.queue.splice(pick % this.queue.length, 1);
@@ -118,26 +118,27 @@
     this.calls += 1;
     const callId = String(this.calls);
     if (isFull) {
-      this.takeBack(work, refuse('queue-full', 'The queue is full.'));
+      this.withdraw(work, refuse('queue-full', 'The queue is full.'));
       return;
     }
     const [effect] = this.step({ type: 'start', callId, ticket: work.ticket });
-    if (effect?.type === 'refuse') this.takeBack(work, effect.refusal);
+    if (effect?.type === 'refuse') this.withdraw(work, effect.refusal);
     else this.run(work);
   }
 
+  /** Starts a planned stop. */
   leave(): void {
     this.leaving = true;
     this.step({ type: 'leave' });
   }
 
-  /** True when a planned stop need not wait for anything more. */
+  /** True if a planned stop need not wait any longer. */
   drained(): boolean {
     return this.queue.length === 0 && this.running === 0;
   }
 
   export(): TicketTable[] {
-    return [...exportTable(this.table, 1, this.around.nowMs())];
+    return [...exportTable(this.table, 1, this.environment.nowMs())];
   }
 
   adopt(table: TicketTable): boolean {
@@ -150,28 +151,28 @@
   }
 
   private isValid(ticket: string): boolean {
-    return this.around.nowMs() < (this.expiries.get(ticket) ?? 0);
+    return this.environment.nowMs() < (this.expiries.get(ticket) ?? 0);
   }
 
   private enqueue(work: Queued): void {
     const { request } = work.send;
-    const { witness } = this.around;
-    witness.check(this.isValid(work.ticket), `${request} was begun after its ticket expired`);
+    const { oracle } = this.environment;
+    oracle.require(this.isValid(work.ticket), `${request} was begun after its ticket expired`);
     this.queue.push(work);
   }
 
   private run(work: Queued): void {
-    const { network, witness, service } = this.around;
+    const { network, oracle, service } = this.environment;
     const { send, ticket } = work;
-    witness.check(this.isValid(ticket), `${send.request} was sent after its ticket expired`);
-    witness.check(!work.arrivedLeaving, `${send.request} was taken in by a leaving sidecar`);
+    oracle.require(this.isValid(ticket), `${send.request} was sent after its ticket expired`);
+    oracle.require(!work.arrivedLeaving, `${send.request} was accepted by a leaving sidecar`);
     this.running += 1;
     network.call<boolean>({
       label: `run ${send.request} send ${send.id} at ${this.upstream}.${this.incarnation}`,
       from: this,
       to: service,
       serve: (reply) => {
-        witness.ran(send);
+        oracle.ran(send);
         reply(true);
       },
       done: (answered) => this.ended(work, answered === true),
@@ -182,7 +183,9 @@
     this.running -= 1;
     if (!isWhole) {
       this.step({ type: 'finish', ticket, end: { type: 'unknown' } });
-      const refusal = refuse('upstream-cut', 'Cut.', { executed: Executed.EXECUTED_UNKNOWN });
+      const refusal = refuse('upstream-cut', 'The connection to the service was cut.', {
+        executed: Executed.EXECUTED_UNKNOWN,
+      });
       this.refuse(ticket, send, refusal, reply);
       return;
     }
@@ -192,7 +195,7 @@
     reply({ type: 'answer', text: send.request });
   }
 
-  private takeBack({ send, ticket, reply }: Queued, refusal: Refusal): void {
+  private withdraw({ send, ticket, reply }: Queued, refusal: Refusal): void {
     this.step({ type: 'finish', ticket, end: { type: 'none' } });
     this.refuse(ticket, send, refusal, reply);
   }
@@ -203,22 +206,22 @@
     refusal: Refusal,
     reply: (reply: Reply) => void,
   ): void {
-    const { witness } = this.around;
+    const { oracle } = this.environment;
     const isForgotten = refusal.type === 'ticket-forgotten';
-    witness.check(
+    oracle.require(
       !(this.isValid(ticket) && isForgotten),
       `${ticket} was forgotten before it expired`,
     );
-    reply({ type: 'refusal', refusal, runs: witness.runsOf(send.request) });
+    reply({ type: 'refusal', refusal, runs: oracle.runsOf(send.request) });
   }
 
   private step(event: TableEvent): readonly TableEffect[] {
-    const change = stepTable(this.table, event, this.around.nowMs());
+    const change = stepTable(this.table, event, this.environment.nowMs());
     this.table = change.state;
     for (const effect of change.effects) {
-      const tell = this.waiting.get(effect.callId);
+      const onEffect = this.waiting.get(effect.callId);
       this.waiting.delete(effect.callId);
-      tell?.(effect);
+      onEffect?.(effect);
     }
     return change.effects;
   }
--- a/bench/once/modelstore.ts
+++ b/bench/once/modelstore.ts
@@ -2,27 +2,27 @@
 
 interface Item {
   readonly value: string;
-  readonly lapsesAtMs: number;
+  readonly expiresAtMs: number;
 }
 
-/** What a call to the store gave. */
+/** Answer of a store call. */
 export type StoreAnswer =
   | { readonly type: 'done' }
   | { readonly type: 'found'; readonly value: string | undefined; readonly runs: number }
   | { readonly type: 'failed' };
 
-/** A call to the store. */
-interface Ask {
+/** A store call. */
+interface StoreCall {
   readonly from: Process;
   readonly key: string;
-  /** How often the request of this key has run, for the witness. */
+  /** How often the request of this key has run, for the oracle. */
   readonly runs: () => number;
   /** Called when this call has created the key. */
   readonly created: () => void;
   readonly done: (answer: StoreAnswer | undefined) => void;
 }
 
-/** The key-value service: one order of writes, outages, leases, and answers that come late or never. */
+/** A model of the key-value store: writes in one order, leases, outages, and answers that are late or lost. */
 export class ModelStore implements Process {
   alive = true;
 
@@ -37,28 +37,28 @@
     private readonly nowMs: () => number,
   ) {}
 
-  /** Creates a key that does not exist, for as long as its lease lives. */
-  create(ask: Ask, value: string, lapsesAtMs: number): void {
+  /** Creates a key if it does not exist; it lapses with its lease. */
+  create(ask: StoreCall, value: string, expiresAtMs: number): void {
     this.call('create', ask, () => {
       const held = this.get(ask.key);
       if (held !== undefined) return { type: 'found', value: held, runs: ask.runs() };
-      if (lapsesAtMs <= this.nowMs()) return { type: 'failed' };
-      this.items.set(ask.key, { value, lapsesAtMs });
+      if (expiresAtMs <= this.nowMs()) return { type: 'failed' };
+      this.items.set(ask.key, { value, expiresAtMs });
       ask.created();
       return { type: 'done' };
     });
   }
 
-  read(ask: Ask): void {
+  read(ask: StoreCall): void {
     this.call('read', ask, () => ({ type: 'found', value: this.get(ask.key), runs: ask.runs() }));
   }
 
   private get(key: string): string | undefined {
     const item = this.items.get(key);
-    return item && item.lapsesAtMs > this.nowMs() ? item.value : undefined;
+    return item && item.expiresAtMs > this.nowMs() ? item.value : undefined;
   }
 
-  private call(verb: string, { from, key, done }: Ask, act: () => StoreAnswer): void {
+  private call(verb: string, { from, key, done }: StoreCall, act: () => StoreAnswer): void {
     const serve = (reply: (answer: StoreAnswer) => void) =>
       reply(this.up ? act() : { type: 'failed' });
     this.network.call({ label: `${verb} ${key}`, from, to: this, serve, done });
--- a/bench/once/mutations.ts
+++ b/bench/once/mutations.ts
@@ -1,4 +1,4 @@
-/** One guard of the run-once cores, and the change to the compiled code that turns it off. */
+/** A guard in the run-once cores, and the change to the compiled code that turns it off. */
 interface Mutation {
   readonly guard: string;
   /** Compiled file under dist/src/core. */
@@ -7,10 +7,10 @@
   readonly replace: string;
 }
 
-/** Every guard that a promise rests on. Each text has to be found exactly once. */
+/** All guards that the promises depend on. Each `find` text has to occur exactly once in its file. */
 export const mutations: readonly Mutation[] = [
   {
-    guard: 'a ticket that runs makes repeats wait',
+    guard: 'repeats of a running ticket wait',
     file: 'ticket/begin.js',
     find: "if (row.phase === 'running') {",
     replace: 'if (false) {',
@@ -34,7 +34,7 @@
     replace: 'false',
   },
   {
-    guard: 'a ticket without a row is unknown, not unrun',
+    guard: 'a ticket without a row is reported as unknown, not as not run',
     file: 'ticket/begin.js',
     find: 'const UNKNOWN = { executed: Executed.EXECUTED_UNKNOWN };',
     replace: 'const UNKNOWN = {};',
@@ -46,13 +46,13 @@
     replace: '',
   },
   {
-    guard: 'a run that broke off is never returned',
+    guard: 'a run that broke off does not return to issued',
     file: 'ticket/finish.js',
     find: "unknown: 'BREAK'",
     replace: "unknown: 'RETURN'",
   },
   {
-    guard: 'what a leaving sidecar did not send is cancelled',
+    guard: 'a leaving sidecar cancels the requests that it has not sent',
     file: 'ticket/finish.js',
     find: 'if (state.leaving)',
     replace: 'if (false)',
@@ -64,31 +64,31 @@
     replace: 'const phase = undefined;',
   },
   {
-    guard: 'a leaving sidecar issues nothing',
+    guard: 'a leaving sidecar issues no tickets',
     file: 'ticket/issue.js',
     find: 'if (given.leaving)',
     replace: 'if (false)',
   },
   {
-    guard: 'a run that outlasts the stop is handed on as unknown',
+    guard: 'a run that outlasts the planned stop is handed over as unknown',
     file: 'ticket/exporttable.js',
     find: "row.phase === 'running' ? 'unknown'",
     replace: "row.phase === 'running' ? 'cancelled'",
   },
   {
-    guard: 'a table that is taken over is believed only for ended tickets',
+    guard: 'an adopted table is trusted only for ended tickets',
     file: 'ticket/adopt.js',
     find: "?? 'unknown'",
     replace: "?? 'cancelled'",
   },
   {
-    guard: 'only tickets whose second of expiry is over are forgotten',
+    guard: 'a ticket is deleted only after the second in which it expires',
     file: 'ticket/sweep.js',
     find: 'second < nowS;',
     replace: 'second <= nowS + 1;',
   },
   {
-    guard: 'the mapping that is found wins over the own ticket',
+    guard: 'an existing mapping takes precedence over a newly issued ticket',
     file: 'idempotency/stepmapping.js',
     find: "{ type: 'bind', ticket: found.ticket }",
     replace: "{ type: 'bind', ticket: state.ticket || found.ticket }",
@@ -100,37 +100,37 @@
     replace: 'false',
   },
   {
-    guard: 'a create without an answer is read back',
+    guard: 'after a create without an answer the mapping is read back',
     file: 'idempotency/stepmapping.js',
     find: "? take(state, 'FAILED', { type: 'read' })\n        :",
     replace: "? take(state, 'SWAPPED', { type: 'bind', ticket: state.ticket })\n        :",
   },
   {
-    guard: 'a key that cannot be read is unknown, not unrun',
+    guard: 'a key that cannot be read is reported as unknown, not as not run',
     file: 'idempotency/stepmapping.js',
     find: "cannot be determined now.', { executed: Executed.EXECUTED_UNKNOWN }",
     replace: "cannot be determined now.', {}",
   },
   {
-    guard: 'without a ticket the store is asked before a no',
+    guard: 'without a ticket the mapping is read before a refusal as not run',
     file: 'idempotency/stepmapping.js',
     find: "take(state, 'FAILED', { type: 'read' }, { reason: refusal })",
     replace: "take(state, 'FAILED', { type: 'refuse', refusal })",
   },
   {
-    guard: 'without a write to spend the store is asked before a no',
+    guard: 'without write budget the mapping is read before a refusal as not run',
     file: 'idempotency/stepmapping.js',
     find: "take(state, 'UNAFFORDABLE', { type: 'read' }, { reason })",
     replace: "take(state, 'LATE', { type: 'refuse', refusal: reason })",
   },
   {
-    guard: 'a request that took too long to bind relies on nothing',
+    guard: 'a request whose mapping took too long does not rely on it',
     file: 'idempotency/stepmapping.js',
     find: 'nowMs >= state.boundUntilMs',
     replace: 'false',
   },
   {
-    guard: 'a mapping outlives the time for which its key may be repeated',
+    guard: 'a mapping outlives the period in which its key may be repeated',
     file: 'idempotency/sharedlease.js',
     find: 'return ticketValidMs + SHARED_MS + MARGIN_MS;',
     replace: 'return 200;',
@@ -142,13 +142,13 @@
     replace: '>= arrivedAtMs',
   },
   {
-    guard: 'an attempt without a known end spoils a later no',
+    guard: 'after an attempt with an unknown outcome a request is never refused as not run',
     file: 'idempotency/finalrefusal.js',
     find: 'return known ? last',
     replace: 'return true ? last',
   },
   {
-    guard: 'a gone incarnation is unknown, not unrun',
+    guard: 'a ticket of a gone incarnation is reported as unknown, not as not run',
     file: 'idempotency/routeticket.js',
     find: '{ executed: Executed.EXECUTED_UNKNOWN }',
     replace: '{}',
--- a/bench/once/network.ts
+++ b/bench/once/network.ts
@@ -4,7 +4,7 @@
   paused: boolean;
 }
 
-/** One message on its way. */
+/** A message in transit. */
 interface Message {
   readonly label: string;
   readonly to: Process;
@@ -12,31 +12,31 @@
   readonly lost: () => void;
 }
 
-/** A call whose caller still waits. */
+/** A call whose caller is still waiting. */
 interface OpenCall {
   readonly label: string;
   readonly from: Process;
   readonly isOpen: () => boolean;
-  readonly giveUp: () => void;
+  readonly timeOut: () => void;
 }
 
-/** What a call needs: `serve` runs at the receiver, `done` at the caller, at most once each. */
+/** A call: `serve` runs at the receiver and `done` at the caller, each at most once. */
 interface Call<Answer> {
   readonly label: string;
   readonly from: Process;
   readonly to: Process;
   readonly serve: (reply: (answer: Answer) => void) => void;
-  /** Undefined when no answer comes: nobody can tell then whether the call was served. */
+  /** Called with undefined if no answer comes; the call may have been served nevertheless. */
   readonly done: (answer: Answer | undefined) => void;
 }
 
-/** Messages between processes: any of them may come late, out of order, or never. */
+/** A network between processes: messages may be delayed, reordered or lost. */
 export class Network {
   private pending: Message[] = [];
 
   private open: OpenCall[] = [];
 
-  constructor(private readonly note: (line: string) => void) {}
+  constructor(private readonly trace: (line: string) => void) {}
 
   call<Answer>({ label, from, to, serve, done }: Call<Answer>): void {
     let isOpen = true;
@@ -46,7 +46,7 @@
       this.open = this.open.filter((other) => other.isOpen());
       if (from.alive) done(answer);
     };
-    // A paused caller hears of a loss when it wakes.
+    // A paused caller learns of the loss after it has resumed.
     const lost = () => {
       if (!from.paused) settle(undefined);
       else this.pending.push({ label: `loss of ${label}`, to: from, deliver: lost, lost });
@@ -55,60 +55,60 @@
       const deliver = () => settle(answer);
       this.pending.push({ label: `answer to ${label}`, to: from, deliver, lost });
     };
-    this.open.push({ label, from, isOpen: () => isOpen, giveUp: lost });
+    this.open.push({ label, from, isOpen: () => isOpen, timeOut: lost });
     this.pending.push({ label, to, deliver: () => serve(reply), lost });
   }
 
-  /** Sends without waiting for an answer. */
-  tell(label: string, to: Process, deliver: () => void): void {
+  /** Sends a message that has no answer. */
+  send(label: string, to: Process, deliver: () => void): void {
     this.pending.push({ label, to, deliver, lost: () => {} });
   }
 
-  /** Delivers one message whose receiver runs; a dead receiver loses it. */
+  /** Delivers a message whose receiver is not paused; if the receiver is dead, the message is lost. */
   deliver(pick: number): void {
     const ready = this.ready();
-    this.pass(ready[pick % Math.max(1, ready.length)]);
+    this.deliverMessage(ready[pick % Math.max(1, ready.length)]);
   }
 
-  /** Delivers the oldest message whose label begins so; false if there is none. */
+  /** Delivers the oldest message whose label starts with `start`; returns false if there is none. */
   deliverNamed(start: string): boolean {
-    return this.pass(this.ready().find(({ label }) => label.startsWith(start)));
+    return this.deliverMessage(this.ready().find(({ label }) => label.startsWith(start)));
   }
 
   lose(pick: number): void {
-    this.drop(this.pending[pick % Math.max(1, this.pending.length)]);
+    this.loseMessage(this.pending[pick % Math.max(1, this.pending.length)]);
   }
 
   loseNamed(start: string): void {
-    this.drop(this.pending.find(({ label }) => label.startsWith(start)));
+    this.loseMessage(this.pending.find(({ label }) => label.startsWith(start)));
   }
 
-  /** A caller stops waiting; its message may still be on its way. */
-  giveUp(pick: number): void {
-    const awake = this.open.filter(({ from }) => !from.paused);
-    const call = awake[pick % Math.max(1, awake.length)];
+  /** Ends a caller's wait for an answer; its message may still arrive. */
+  timeOut(pick: number): void {
+    const active = this.open.filter(({ from }) => !from.paused);
+    const call = active[pick % Math.max(1, active.length)];
     if (!call) return;
-    this.note(`GIVEN UP ${call.label}`);
-    call.giveUp();
+    this.trace(`GIVEN UP ${call.label}`);
+    call.timeOut();
   }
 
   private ready(): Message[] {
     return this.pending.filter(({ to }) => !to.alive || !to.paused);
   }
 
-  private pass(message: Message | undefined): boolean {
+  private deliverMessage(message: Message | undefined): boolean {
     if (!message) return false;
     this.pending = this.pending.filter((other) => other !== message);
-    this.note(`${message.to.alive ? '' : 'receiver dead: '}${message.label}`);
+    this.trace(`${message.to.alive ? '' : 'receiver dead: '}${message.label}`);
     if (message.to.alive) message.deliver();
     else message.lost();
     return true;
   }
 
-  private drop(message: Message | undefined): void {
+  private loseMessage(message: Message | undefined): void {
     if (!message) return;
     this.pending = this.pending.filter((other) => other !== message);
-    this.note(`LOST ${message.label}`);
+    this.trace(`LOST ${message.label}`);
     message.lost();
   }
 }
--- a/bench/once/violation.ts
+++ b/bench/once/violation.ts
@@ -1,4 +1,4 @@
-/** A promise that was broken. */
+/** Thrown when a promise is broken. */
 export class Violation extends Error {
   override readonly name = 'Violation';
 }
--- a/bench/once/world.ts
+++ b/bench/once/world.ts
@@ -1,15 +1,18 @@
 import type { CustomerId, Incarnation, UpstreamId } from '../../src/base/index.js';
 import { ModelEntry } from './modelentry.js';
-import { LIMITS, ModelSidecar } from './modelsidecar.js';
+import { modelLimits, ModelSidecar } from './modelsidecar.js';
 import { ModelStore } from './modelstore.js';
 import { Network, type Process } from './network.js';
-import { Witness } from './witness.js';
+import { RunOracle } from './runoracle.js';
 
 const UPSTREAMS = ['u1', 'u2'] as UpstreamId[];
 const OWNER = 'ministry' as CustomerId;
 const INTRUDER = 'stranger' as CustomerId;
 
-/** What callers try: two keys, one with two different requests, and a ticket with an intruder. */
+/**
+ * Requests that callers send: under two keys, one of them with two different requests, and under a ticket that also
+ * another request and another customer use.
+ */
 const REQUESTS = [
   { request: 'key-1', group: 'key-1', customer: OWNER, hash: 'a', byTicket: false },
   { request: 'key-1-other', group: 'key-1', customer: OWNER, hash: 'b', byTicket: false },
@@ -19,20 +22,21 @@
   { request: 'ticket-stolen', group: 'ticket', customer: INTRUDER, hash: 'a', byTicket: true },
 ] as const;
 
-/** One send of a caller: which request, and which way it goes. */
+/** One send by a caller: the request and its path. */
 interface Sending {
-  readonly wish: number;
+  /** Index into `REQUESTS`. */
+  readonly requestIndex: number;
   readonly entry: number;
-  /** Where a ticket would be asked for. */
+  /** Upstream whose sidecar would issue a ticket. */
   readonly upstream: number;
   readonly isAffordable: boolean;
 }
 
-/** A small deployment in which anything may happen at any moment. */
+/** A small deployment whose messages, failures and clock the checker controls one step at a time. */
 export class World {
   readonly trace: string[] = [];
 
-  readonly witness: Witness;
+  readonly oracle: RunOracle;
 
   private nowMs = 0;
 
@@ -42,8 +46,8 @@
 
   private readonly sidecars: ModelSidecar[] = [];
 
-  /** Sidecars that were replaced while they were paused, and may wake. */
-  private former: ModelSidecar[] = [];
+  /** Sidecars that were replaced and still exist: paused ones may resume. */
+  private replaced: ModelSidecar[] = [];
 
   private readonly entries: ModelEntry[] = [];
 
@@ -55,17 +59,17 @@
 
   private sends = 0;
 
-  /** Time until which callers may repeat each key. */
+  /** Until when callers may repeat each key. */
   private readonly windows = new Map<string, number>();
 
   private ticket: string | undefined;
 
   constructor(isTraced: boolean) {
     const note = isTraced ? (line: string) => this.trace.push(line) : () => {};
-    this.witness = new Witness(note);
+    this.oracle = new RunOracle(note);
     this.network = new Network(note);
     this.store = new ModelStore(this.network, () => this.nowMs);
-    for (const upstream of UPSTREAMS) this.sidecars.push(this.birth(upstream));
+    for (const upstream of UPSTREAMS) this.sidecars.push(this.startSidecar(upstream));
     this.entries.push(this.entry(), this.entry());
     this.note = note;
   }
@@ -80,8 +84,8 @@
     this.network.lose(pick);
   }
 
-  giveUp(pick: number): void {
-    this.network.giveUp(pick);
+  timeOut(pick: number): void {
+    this.network.timeOut(pick);
   }
 
   deliverNamed(start: string): void {
@@ -92,7 +96,7 @@
     this.network.loseNamed(start);
   }
 
-  /** Delivers and runs all that can be, in order. */
+  /** Delivers pending messages and runs queued requests, oldest first. */
   settle(rounds: number): void {
     for (let round = 0; round < rounds; round += 1) {
       this.deliver(0);
@@ -100,8 +104,8 @@
     }
   }
 
-  /** A caller sends, or sends again, one of its requests through one of the entries. */
-  send({ wish, entry, upstream, isAffordable }: Sending): void {
+  /** Sends one of the requests, for the first time or again, through one of the entries. */
+  send({ requestIndex: wish, entry, upstream, isAffordable }: Sending): void {
     const through = this.entries[entry]!;
     const { request, group, customer, hash, byTicket } = REQUESTS[wish]!;
     if (through.paused) return;
@@ -121,36 +125,38 @@
     });
   }
 
-  /** A queued request gets its slot, or is refused. */
+  /** Gives a queued request a slot, or refuses it. */
   admit(pick: number): void {
-    const all = [...this.sidecars, ...this.former];
+    const all = [...this.sidecars, ...this.replaced];
     all[pick % all.length]!.admit(Math.floor(pick / 8), Math.floor(pick / 64) % 4 === 0);
   }
 
-  pass(pick: number): void {
+  advanceClock(pick: number): void {
     this.nowMs += [1, 1, 300, 300, 900, 1200, 5000, 70_500][pick % 8]!;
     this.note(`now ${this.nowMs}`);
   }
 
+  /** Kills a sidecar; a new incarnation takes its place. */
   kill(pick: number): void {
     const slot = pick % 2;
     this.note(`kill ${this.nameOf(slot)}`);
     this.sidecars[slot]!.alive = false;
-    this.sidecars[slot] = this.birth(UPSTREAMS[slot]!);
+    this.sidecars[slot] = this.startSidecar(UPSTREAMS[slot]!);
   }
 
-  /** Pauses a sidecar; another may be started in its place, unaware of it. */
+  /** Pauses a sidecar; a new incarnation may take its place while the old one still exists. */
   pause(pick: number): void {
     const slot = pick % 2;
     this.note(`pause ${this.nameOf(slot)}`);
     this.sidecars[slot]!.paused = true;
     if (Math.floor(pick / 2) % 2 === 0) return;
-    this.former.push(this.sidecars[slot]!);
-    this.sidecars[slot] = this.birth(UPSTREAMS[slot]!);
+    this.replaced.push(this.sidecars[slot]!);
+    this.sidecars[slot] = this.startSidecar(UPSTREAMS[slot]!);
   }
 
-  wake(): void {
-    for (const process of [...this.sidecars, ...this.former, ...this.entries]) {
+  /** Resumes all paused processes. */
+  resumeAll(): void {
+    for (const process of [...this.sidecars, ...this.replaced, ...this.entries]) {
       process.paused = false;
     }
   }
@@ -167,17 +173,17 @@
     this.entries[pick % 2]!.paused = true;
   }
 
-  cutStore(): void {
+  stopStore(): void {
     this.store.up = false;
     this.note('store down');
   }
 
-  mendStore(): void {
+  restoreStore(): void {
     this.store.up = true;
     this.note('store up');
   }
 
-  /** A planned stop begins: nothing new is taken in. */
+  /** Starts a planned stop of a sidecar, which then accepts no new requests. */
   leave(pick: number): void {
     const sidecar = this.sidecars[pick % 2]!;
     if (sidecar.paused || sidecar.leaving) return;
@@ -185,7 +191,7 @@
     sidecar.leave();
   }
 
-  /** A planned stop ends: what runs is over, or its time is up, and the table goes to the peer. */
+  /** Ends a planned stop, drained or at its time limit, and hands the ticket table over to the peer. */
   handOver(pick: number): void {
     const slot = pick % 2;
     const sidecar = this.sidecars[slot]!;
@@ -199,21 +205,21 @@
         from: sidecar,
         to: peer,
         serve: (reply) => {
-          const isTaken = peer.adopt(table);
-          if (isTaken && table.last) this.publishHeir(table, peer);
-          reply(isTaken);
+          const isAdopted = peer.adopt(table);
+          if (isAdopted && table.last) this.publishHeir(table, peer);
+          reply(isAdopted);
         },
         done: () => {},
       });
     }
-    this.former.push(sidecar);
-    this.sidecars[slot] = this.birth(UPSTREAMS[slot]!);
+    this.replaced.push(sidecar);
+    this.sidecars[slot] = this.startSidecar(UPSTREAMS[slot]!);
   }
 
-  /** The process that was replaced is gone at last. */
-  bury(): void {
-    for (const sidecar of this.former) sidecar.alive = false;
-    this.former = [];
+  /** Kills all replaced sidecars. */
+  killReplaced(): void {
+    for (const sidecar of this.replaced) sidecar.alive = false;
+    this.replaced = [];
   }
 
   private issue(upstream: UpstreamId): string | undefined {
@@ -224,9 +230,9 @@
     return issued;
   }
 
-  /** Callers repeat a key only for as long as they are told that they may. */
+  /** True while callers may repeat the key: for the validity period after its first send. */
   private mayRepeat(group: string): boolean {
-    const untilMs = this.windows.get(group) ?? this.nowMs + LIMITS.maxValidMs;
+    const untilMs = this.windows.get(group) ?? this.nowMs + modelLimits.maxValidMs;
     this.windows.set(group, untilMs);
     return this.nowMs <= untilMs;
   }
@@ -240,17 +246,17 @@
     return this.sidecars[UPSTREAMS.indexOf(upstream)]!;
   }
 
-  private birth(upstream: UpstreamId): ModelSidecar {
+  private startSidecar(upstream: UpstreamId): ModelSidecar {
     this.incarnations += 1;
     const incarnation = this.incarnations as Incarnation;
-    this.tellEntries(`${upstream} is at ${incarnation}`, ({ heard }) => {
+    this.notifyEntries(`${upstream} is at ${incarnation}`, ({ heard }) => {
       const known = heard.incarnations.get(upstream) ?? 0;
       if (incarnation > known) heard.incarnations.set(upstream, incarnation);
     });
-    const { network, witness, service } = this;
+    const { network, oracle, service } = this;
     return new ModelSidecar(upstream, incarnation, {
       network,
-      witness,
+      oracle,
       service,
       nowMs: () => this.nowMs,
     });
@@ -261,20 +267,20 @@
     peer: ModelSidecar,
   ): void {
     const heir = { upstream: peer.upstream, incarnation: peer.incarnation };
-    this.tellEntries(`${peer.upstream} holds the table of ${upstream}`, ({ heard }) => {
+    this.notifyEntries(`${peer.upstream} holds the table of ${upstream}`, ({ heard }) => {
       heard.heirs.set(`${upstream}.${incarnation}`, heir);
     });
   }
 
-  private tellEntries(label: string, act: (entry: ModelEntry) => void): void {
-    for (const entry of this.entries) this.network.tell(label, entry, () => act(entry));
+  private notifyEntries(label: string, act: (entry: ModelEntry) => void): void {
+    for (const entry of this.entries) this.network.send(label, entry, () => act(entry));
   }
 
   private entry(): ModelEntry {
-    const { network, witness, store, caller } = this;
+    const { network, oracle, store, caller } = this;
     return new ModelEntry({
       network,
-      witness,
+      oracle,
       store,
       caller,
       nowMs: () => this.nowMs,
--- a/bench/oncecheck.ts
+++ b/bench/oncecheck.ts
@@ -4,12 +4,12 @@
 const SEED = 20_261_202;
 
 /**
- * Plays random interleavings of tickets, retries, entries, deaths, pauses, hand-overs and store faults
- * against the real run-once cores. Arguments: how many (100,000 by default) and the seed.
+ * Checks the real run-once cores under random interleavings of sends, retries, process deaths, pauses, hand-overs and
+ * store outages. Arguments: the number of interleavings (100,000 by default) and the seed.
  */
 export async function onceCheck(args: readonly string[]): Promise<object> {
   const [interleavings = INTERLEAVINGS, seed = SEED] = args.map(Number);
   const startedMs = performance.now();
-  const found = check(interleavings, seed);
-  return { ...found, seed, tookMs: Math.round(performance.now() - startedMs) };
+  const result = check(interleavings, seed);
+  return { ...result, seed, tookMs: Math.round(performance.now() - startedMs) };
 }
--- a/bench/oncecost.ts
+++ b/bench/oncecost.ts
@@ -32,8 +32,8 @@
   return process.memoryUsage().heapUsed + process.memoryUsage().arrayBuffers;
 }
 
-/** One table with so many live tickets, and what each step on it took. */
-class Trial {
+/** Measures the operations of a ticket table that holds a given number of live tickets. */
+class TableMeasurement {
   private state: TableState;
 
   private readonly tickets: string[] = [];
@@ -84,7 +84,7 @@
     if (effect?.type === 'issued') this.tickets.push(effect.reply.ticket);
   }
 
-  /** Begin, start and finish of one request, as the sidecar does them, with the request's hash. */
+  /** Begins, starts and finishes one request as the sidecar does, including the request hash. */
   private run(index: number): void {
     const ticket = this.tickets[index]!;
     this.begin(index);
@@ -122,9 +122,9 @@
   }
 }
 
-/** Cost of the run-once table on one core, at several numbers of live tickets. */
+/** Measures the cost of the ticket table on one core for several numbers of live tickets. */
 export async function onceCost(): Promise<object> {
-  new Trial(SIZES[0]!).measure();
-  const sizes = SIZES.map((count) => new Trial(count).measure());
+  new TableMeasurement(SIZES[0]!).measure();
+  const sizes = SIZES.map((count) => new TableMeasurement(count).measure());
   return { answerBytes: ANSWER_BYTES, sizes };
 }
--- a/bench/oncemutations.ts
+++ b/bench/oncemutations.ts
@@ -10,7 +10,7 @@
 const INTERLEAVINGS = 30_000;
 const SEED = 20_261_202;
 
-/** A copy of the compiled code with one guard turned off. */
+/** Copies the compiled code, turns one guard off, and returns the copy's folder. */
 function mutate(index: number, { file, find, replace, guard }: (typeof mutations)[number]): string {
   const folder = join(MUTANTS, String(index));
   for (const part of ['src', 'bench']) {
@@ -19,7 +19,7 @@
   const path = join(folder, 'src', 'core', file);
   const code = readFileSync(path, 'utf8');
   if (code.split(find).length !== 2) {
-    const detail = `The text to change for "${guard}" is not there exactly once.`;
+    const detail = `The text to replace for the guard "${guard}" does not occur exactly once.`;
     throw new FailureError({ type: 'mutation-misplaced', detail });
   }
   writeFileSync(
@@ -29,7 +29,7 @@
   return folder;
 }
 
-/** Turns each guard off once, and shows the shortest interleaving that then breaks a promise. */
+/** Turns the guards off one at a time and reports the shortest interleaving found that then violates a promise. */
 export async function onceMutations(args: readonly string[]): Promise<object> {
   const [interleavings = INTERLEAVINGS, seed = SEED] = args.map(Number);
   rmSync(MUTANTS, { recursive: true, force: true });
--- a/bench/path/benchdocument.ts
+++ b/bench/path/benchdocument.ts
@@ -1,6 +1,6 @@
 import { createHash } from 'node:crypto';
 
-/** Key of the only customer. */
+/** API key of the only customer. */
 const KEY = 'bench-key';
 
 function documentFor(addresses: readonly string[], slots: number): object {
@@ -40,5 +40,5 @@
   };
 }
 
-/** The document that benches of the path serve from, and the key for it. */
+/** Service document of the path benchmarks, and the API key for it. */
 export const benchDocument = { key: KEY, documentFor };
--- a/bench/path/benchpath.ts
+++ b/bench/path/benchpath.ts
@@ -2,28 +2,29 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { Daemon } from '../../demo/daemon.js';
-import { Child } from './child.js';
+import { BenchProcess } from './benchprocess.js';
 import { startBenchEntry } from './startbenchentry.js';
 
 const SLOTS = 256;
 
-/** Options of a path; the relay, if any, stands between entry and sidecar. */
+/** Options of a path. */
 interface PathOptions {
   readonly tokenMs: number;
   readonly tokens: number;
+  /** Starts a relay in front of the sidecar's port and returns the port of its own. */
   readonly relay?: (port: number) => Promise<number>;
 }
 
-/** A stand-in engine, a sidecar and an entry, each a process of its own. */
+/** A stand-in engine, a sidecar and an entry, each in its own process. */
 export class BenchPath {
   private constructor(
-    private readonly engine: Child<{ url: string }>,
+    private readonly engine: BenchProcess<{ url: string }>,
     readonly sidecar: Daemon,
     readonly entry: Daemon,
   ) {}
 
   static async start({ tokenMs, tokens, relay }: PathOptions): Promise<BenchPath> {
-    const engine = await Child.start<{ url: string }>('engineprocess', { tokenMs, tokens });
+    const engine = await BenchProcess.start<{ url: string }>('engineprocess', { tokenMs, tokens });
     const directory = mkdtempSync(join(tmpdir(), 'tarragonstile-bench-'));
     const sidecar = await Daemon.start('sidecar', directory, 'sidecar', {
       region: 'cantabrico',
--- a/bench/path/atrate.ts
+++ b/bench/path/callatrate.ts
@@ -2,8 +2,8 @@
 
 const MS_PER_SECOND = 1000;
 
-/** Calls `act` so many times a second, whatever becomes of the earlier calls, and waits for all. */
-export async function atRate(
+/** Calls `act` at a fixed rate without waiting for earlier calls, then waits for all calls to finish. */
+export async function callAtRate(
   perSecond: number,
   seconds: number,
   act: (index: number) => Promise<void>,
--- a/bench/path/engineprocess.ts
+++ b/bench/path/engineprocess.ts
@@ -1,6 +1,6 @@
 import { FakeEngine } from '../../standin/index.js';
 
-/** Options of the stand-in as a process of its own. */
+/** Options of the stand-in engine, as the process's JSON argument. */
 interface Options {
   readonly tokenMs: number;
   readonly tokens: number;
--- a/bench/path/linkclient.ts
+++ b/bench/path/linkclient.ts
@@ -5,6 +5,7 @@
 
 const GRANT_EVERY = 16;
 
+/** Options of the client, as the process's JSON argument. */
 interface ClientOptions {
   readonly link: 'shared' | 'stream';
   readonly ports: readonly number[];
@@ -20,6 +21,7 @@
 let lost = 0;
 
 function ask(index: number): void {
+  /** Data frames since the last credit grant. */
   let taken = 0;
   const address = `127.0.0.1:${ports[index % ports.length]}`;
   const asked: SentAttempt = link.ask(address, `request-${index}-0123456`, 1, head, {
@@ -40,5 +42,6 @@
 
 for (let index = 0; index < streams; index += 1) ask(index);
 console.log(JSON.stringify({ streams }));
-const tell = () => console.log(JSON.stringify({ tokenCount, lost, atMs: performance.now() }));
-setInterval(tell, 1000);
+const printProgress = () =>
+  console.log(JSON.stringify({ tokenCount, lost, atMs: performance.now() }));
+setInterval(printProgress, 1000);
--- a/bench/path/usage.ts
+++ b/bench/path/processusage.ts
@@ -5,15 +5,15 @@
 const BYTES_PER_KIB = 1024;
 const USER_TICKS_FIELD = 11;
 
-/** What a process has used so far. */
+/** Resources that a process has used. */
 interface Usage {
-  /** Time on all cores together. */
+  /** Processor time, summed over all cores. */
   readonly cpuMs: number;
   readonly rssBytes: number;
 }
 
-/** Reads a process's use from the kernel's own books. */
-export function usageOf(pid: number): Usage {
+/** Reads the resource usage of a process from /proc. */
+export function processUsage(pid: number): Usage {
   const stat = readFileSync(`/proc/${pid}/stat`, 'utf8');
   const fields = stat.slice(stat.lastIndexOf(')') + 2).split(' ');
   const ticks = Number(fields[USER_TICKS_FIELD]) + Number(fields[USER_TICKS_FIELD + 1]);
--- a/bench/path/relay.ts
+++ b/bench/path/relay.ts
@@ -1,6 +1,6 @@
 import { connect, createServer, type AddressInfo, type Server, type Socket } from 'node:net';
 
-/** Passes TCP on to a port and counts the bytes of both directions. */
+/** Forwards TCP connections to a port and counts the bytes of both directions. */
 export class Relay {
   bytes = 0;
 
@@ -8,9 +8,9 @@
 
   private server: Server | undefined;
 
-  /** Listens before the given port; resolves with the port of its own. */
+  /** Starts to listen, forwarding to the given port; resolves with the port that it listens on. */
   async open(port: number): Promise<number> {
-    const server = createServer((near) => this.join(near, connect(port, '127.0.0.1')));
+    const server = createServer((client) => this.connectPair(client, connect(port, '127.0.0.1')));
     this.server = server;
     await new Promise<void>((resolve) => {
       server.listen(0, '127.0.0.1', resolve);
@@ -23,10 +23,10 @@
     this.server?.close();
   }
 
-  private join(near: Socket, far: Socket): void {
+  private connectPair(client: Socket, target: Socket): void {
     for (const [from, to] of [
-      [near, far],
-      [far, near],
+      [client, target],
+      [target, client],
     ] as const) {
       this.sockets.add(from);
       from.setNoDelay(true);
--- a/bench/path/askstream.ts
+++ b/bench/path/requeststream.ts
@@ -1,15 +1,15 @@
 import { request } from 'undici';
 import { benchDocument } from './benchdocument.js';
 
-/** How one streamed request went. */
-interface Asked {
+/** Result of a streamed request. */
+interface StreamResult {
   readonly firstTokenMs: number;
   readonly bodyBytes: number;
-  readonly whole: boolean;
+  readonly isComplete: boolean;
 }
 
-/** Asks for a stream at an entry, or at the engine itself, and reads it to its end. */
-export async function askStream(url: string, maxTokens: number): Promise<Asked> {
+/** Requests a stream from an entry, or directly from an engine, and reads it to its end. */
+export async function requestStream(url: string, maxTokens: number): Promise<StreamResult> {
   const startMs = performance.now();
   const ask = { model: 'notice-1', stream: true, max_tokens: maxTokens };
   const answer = await request(`${url}/v1/chat/completions`, {
@@ -25,5 +25,5 @@
     bodyBytes += chunk.length;
     last = chunk.toString();
   }
-  return { firstTokenMs, bodyBytes, whole: last.endsWith('data: [DONE]\n\n') };
+  return { firstTokenMs, bodyBytes, isComplete: last.endsWith('data: [DONE]\n\n') };
 }
--- a/bench/path/source.ts
+++ b/bench/path/source.ts
@@ -4,16 +4,19 @@
 import type { AnswerSink } from '../../src/sidecar/answersink.js';
 import { WorkService, type WorkServer } from '../../src/wire/index.js';
 import type { SourceOptions } from './sourceoptions.js';
-import { tokenEvent } from './tokens.js';
+import { tokenEvent } from './tokenevent.js';
 
+/** Streams are spread over this many groups, which emit in turn to spread the load over time. */
 const BUCKETS = 16;
 const DONE = Buffer.from('data: [DONE]\n\n');
 const HEADERS = [{ name: 'content-type', value: 'text/event-stream' }];
 
+/** A stream that is being sent. */
 interface Stream {
   readonly outlet: AnswerSink;
   readonly payload: Buffer;
   readonly finish: () => void;
+  /** Tokens that are still to be sent. */
   left: number;
 }
 
@@ -80,11 +83,11 @@
 const ports = await Promise.all(Array.from({ length: options.peers }, listen));
 const bucketMs = options.intervalMs / BUCKETS;
 let dueMs = performance.now();
-let turn = 0;
+let round = 0;
 setInterval(() => {
   while (dueMs <= performance.now()) {
-    emit(buckets[turn % BUCKETS]!);
-    turn += 1;
+    emit(buckets[round % BUCKETS]!);
+    round += 1;
     dueMs += bucketMs;
   }
 }, 1);
--- a/bench/path/startbenchentry.ts
+++ b/bench/path/startbenchentry.ts
@@ -4,7 +4,7 @@
 import { Daemon } from '../../demo/daemon.js';
 import { benchDocument } from './benchdocument.js';
 
-/** An entry as a process of its own, in front of these sidecars. */
+/** Starts an entry in its own process for the given sidecars. */
 export function startBenchEntry(addresses: readonly string[], slots: number): Promise<Daemon> {
   const directory = mkdtempSync(join(tmpdir(), 'tarragonstile-bench-'));
   const document = join(directory, 'redactor.jsonc');
--- a/bench/path/reader.ts
+++ b/bench/path/startreader.ts
@@ -3,14 +3,15 @@
 
 const EVENT = Buffer.from('data: {');
 
-/** Counts of all readers together. */
+/** Counts over all readers. */
 interface Counts {
   tokens: number;
   bytes: number;
+  /** Connection errors and error events. */
   broken: number;
 }
 
-/** Reads one stream with as little work as can be: it counts events in the bytes as they come. */
+/** Requests a stream and counts its events in the raw bytes, which costs less than parsing them. */
 export function startReader(port: number, counts: Counts): Socket {
   const body = JSON.stringify({ model: 'notice-1', stream: true, messages: [{ content: 'a' }] });
   const lines = [
--- a/bench/path/streamlink.ts
+++ b/bench/path/streamlink.ts
@@ -3,7 +3,7 @@
 import { channelOptions } from '../../src/shell/rpc/index.js';
 import { WorkClient, type Frame, type FrameBatch, type RequestHead } from '../../src/wire/index.js';
 
-/** The baseline: a gRPC stream of its own for each request. */
+/** The baseline that `SharedLink` is compared with: one gRPC stream for each request. */
 export class StreamLink implements Link {
   private readonly clients = new Map<string, WorkClient>();
 
@@ -36,13 +36,13 @@
   client(sidecarAddress: string): WorkClient {
     const known = this.clients.get(sidecarAddress);
     if (known) return known;
-    const made = new WorkClient(
+    const created = new WorkClient(
       sidecarAddress,
       credentials.createInsecure(),
       channelOptions.client,
     );
-    this.clients.set(sidecarAddress, made);
-    return made;
+    this.clients.set(sidecarAddress, created);
+    return created;
   }
 
   close(): void {
--- a/bench/path/tokens.ts
+++ b/bench/path/tokenevent.ts
@@ -1,4 +1,4 @@
-/** An event as engines send it: about 200 bytes, always of the same size for one id. */
+/** Returns an event as engines send it: about 200 bytes, with the same size for the same id. */
 export function tokenEvent(id: string): Buffer {
   const chunk = {
     id,
--- a/bench/pathidle.ts
+++ b/bench/pathidle.ts
@@ -1,10 +1,10 @@
 import { setTimeout as wait } from 'node:timers/promises';
 import type { Bench } from './bench.js';
-import { askStream } from './path/askstream.js';
-import { atRate } from './path/atrate.js';
+import { requestStream } from './path/requeststream.js';
+import { callAtRate } from './path/callatrate.js';
 import { BenchPath } from './path/benchpath.js';
 import { Relay } from './path/relay.js';
-import { usageOf } from './path/usage.js';
+import { processUsage } from './path/processusage.js';
 
 const REQUESTS_PER_SECOND = 58;
 const SECONDS = 8;
@@ -24,11 +24,11 @@
 
 async function measure(path: BenchPath, relay: Relay, work: Promise<void>): Promise<Phase> {
   const { entry, sidecar } = path;
-  const before = [usageOf(entry.pid), usageOf(sidecar.pid)] as const;
+  const before = [processUsage(entry.pid), processUsage(sidecar.pid)] as const;
   const [fromBytes, fromMs] = [relay.bytes, performance.now()];
   await work;
   const tookMs = performance.now() - fromMs;
-  const after = [usageOf(entry.pid), usageOf(sidecar.pid)] as const;
+  const after = [processUsage(entry.pid), processUsage(sidecar.pid)] as const;
   const percent = (end: 0 | 1) => ((after[end].cpuMs - before[end].cpuMs) / tookMs) * PERCENT;
   return {
     entryCpuPercent: percent(0),
@@ -39,7 +39,10 @@
   };
 }
 
-/** Memory, processor and the hop's bytes of one entry and one sidecar, idle and at 58 requests/s. */
+/**
+ * Measures memory and processor use of an entry and a sidecar, and the traffic between them, when idle and at 58
+ * requests per second.
+ */
 export const pathIdle: Bench = async () => {
   const relay = new Relay();
   const path = await BenchPath.start({
@@ -49,8 +52,8 @@
   });
   let payloadBytes = 0;
   const load = (seconds: number) =>
-    atRate(REQUESTS_PER_SECOND, seconds, async () => {
-      const { bodyBytes } = await askStream(path.entryUrl, TOKENS);
+    callAtRate(REQUESTS_PER_SECOND, seconds, async () => {
+      const { bodyBytes } = await requestStream(path.entryUrl, TOKENS);
       payloadBytes += bodyBytes;
     });
   const idle = await measure(path, relay, wait(SECONDS * MS_PER_SECOND));
--- a/bench/pathlatency.ts
+++ b/bench/pathlatency.ts
@@ -1,12 +1,12 @@
 import { build, type Histogram } from 'hdr-histogram-js';
 import type { Bench } from './bench.js';
-import { askStream } from './path/askstream.js';
-import { atRate } from './path/atrate.js';
+import { requestStream } from './path/requeststream.js';
+import { callAtRate } from './path/callatrate.js';
 import { BenchPath } from './path/benchpath.js';
-import { usageOf } from './path/usage.js';
+import { processUsage } from './path/processusage.js';
 
 const REQUESTS_PER_SECOND = 58;
-/** Enough requests that the processes run compiled code, as they do after a minute of work. */
+/** Enough warm-up requests for the just-in-time compiler, as after a minute of normal load. */
 const WARM_REQUESTS_PER_SECOND = 250;
 const WARM_SECONDS = 4;
 const SECONDS = 10;
@@ -21,16 +21,16 @@
   return { count: histogram.totalCount, p50Ms: ms(50), p95Ms: ms(95), p99Ms: ms(99) };
 }
 
-/** First tokens through the entry and straight from the engine, in turn, so that both share a run. */
+/** Measures the first token through the entry and directly from the engine, alternating within the same run. */
 async function compare(path: BenchPath): Promise<object> {
   const histograms = [build(), build()] as const;
   const urls = [path.entryUrl, path.engineUrl] as const;
   let broken = 0;
-  await atRate(2 * REQUESTS_PER_SECOND, SECONDS, async (index) => {
+  await callAtRate(2 * REQUESTS_PER_SECOND, SECONDS, async (index) => {
     const side = (index % 2) as 0 | 1;
-    const { firstTokenMs, whole } = await askStream(urls[side], FEW_TOKENS);
+    const { firstTokenMs, isComplete } = await requestStream(urls[side], FEW_TOKENS);
     histograms[side].recordValue(Math.round(firstTokenMs * US_PER_MS));
-    if (!whole) broken += 1;
+    if (!isComplete) broken += 1;
   });
   const [through, direct] = histograms;
   const addedUs = through.getValueAtPercentile(95) - direct.getValueAtPercentile(95);
@@ -42,25 +42,25 @@
   };
 }
 
-/** Processor time of entry and sidecar for one request with so many tokens. */
+/** Measures the processor time in ms of entry and sidecar for one request with the given number of tokens. */
 async function cost(path: BenchPath, tokens: number): Promise<{ entry: number; sidecar: number }> {
   const { entry, sidecar } = path;
-  const before = [usageOf(entry.pid).cpuMs, usageOf(sidecar.pid).cpuMs] as const;
-  await atRate(REQUESTS_PER_SECOND, COST_SECONDS, async () => {
-    await askStream(path.entryUrl, tokens);
+  const before = [processUsage(entry.pid).cpuMs, processUsage(sidecar.pid).cpuMs] as const;
+  await callAtRate(REQUESTS_PER_SECOND, COST_SECONDS, async () => {
+    await requestStream(path.entryUrl, tokens);
   });
   const count = REQUESTS_PER_SECOND * COST_SECONDS;
   return {
-    entry: (usageOf(entry.pid).cpuMs - before[0]) / count,
-    sidecar: (usageOf(sidecar.pid).cpuMs - before[1]) / count,
+    entry: (processUsage(entry.pid).cpuMs - before[0]) / count,
+    sidecar: (processUsage(sidecar.pid).cpuMs - before[1]) / count,
   };
 }
 
-/** What the path adds to the first token at 58 requests a second, and what requests and tokens cost. */
+/** Measures the latency that the path adds to the first token at 58 requests/s, and the cost per request and token. */
 export const pathLatency: Bench = async () => {
   const path = await BenchPath.start({ tokenMs: TOKEN_MS, tokens: MANY_TOKENS });
-  await atRate(WARM_REQUESTS_PER_SECOND, WARM_SECONDS, async () => {
-    await askStream(path.entryUrl, FEW_TOKENS);
+  await callAtRate(WARM_REQUESTS_PER_SECOND, WARM_SECONDS, async () => {
+    await requestStream(path.entryUrl, FEW_TOKENS);
   });
   const first = await compare(path);
   const few = await cost(path, FEW_TOKENS);
--- a/bench/pathlink.ts
+++ b/bench/pathlink.ts
@@ -1,6 +1,6 @@
 import type { Bench } from './bench.js';
-import { Child } from './path/child.js';
-import { usageOf } from './path/usage.js';
+import { BenchProcess } from './path/benchprocess.js';
+import { processUsage } from './path/processusage.js';
 
 const STREAMS = 1200;
 const TOKENS_PER_SECOND = 46_000;
@@ -9,28 +9,29 @@
 const MS_PER_SECOND = 1000;
 const US_PER_MS = 1000;
 
-interface Told {
+/** Progress line that the client prints every second. */
+interface Progress {
   readonly tokenCount: number;
   readonly lost: number;
   readonly atMs: number;
 }
 
-async function skip(client: Child<object>, seconds: number): Promise<Told> {
-  let told = await client.next<Told>();
-  for (let second = 1; second < seconds; second += 1) told = await client.next<Told>();
-  return told;
+async function progressAfter(client: BenchProcess<object>, seconds: number): Promise<Progress> {
+  let progress = await client.nextLine<Progress>();
+  for (let second = 1; second < seconds; second += 1) progress = await client.nextLine<Progress>();
+  return progress;
 }
 
 async function measure(link: 'shared' | 'stream', peers: number): Promise<object> {
   const intervalMs = (STREAMS / TOKENS_PER_SECOND) * MS_PER_SECOND;
   const options = { peers, intervalMs, tokens: 1_000_000 };
-  const source = await Child.start<{ ports: number[] }>('source', options);
+  const source = await BenchProcess.start<{ ports: number[] }>('source', options);
   const { ports } = source.ready;
-  const client = await Child.start<object>('linkclient', { link, ports, streams: STREAMS });
-  const from = await skip(client, WARM_SECONDS);
-  const before = [usageOf(client.pid), usageOf(source.pid)] as const;
-  const to = await skip(client, SECONDS);
-  const after = [usageOf(client.pid), usageOf(source.pid)] as const;
+  const client = await BenchProcess.start<object>('linkclient', { link, ports, streams: STREAMS });
+  const from = await progressAfter(client, WARM_SECONDS);
+  const before = [processUsage(client.pid), processUsage(source.pid)] as const;
+  const to = await progressAfter(client, SECONDS);
+  const after = [processUsage(client.pid), processUsage(source.pid)] as const;
   await client.stop();
   await source.stop();
   const tokens = to.tokenCount - from.tokenCount;
@@ -48,7 +49,7 @@
   };
 }
 
-/** One gRPC stream a request against one shared stream a sidecar, at the same load. */
+/** Compares one gRPC stream per request with one shared stream per sidecar, at the same load. */
 export const pathLink: Bench = async () => {
   const runs: object[] = [];
   for (const peers of [8, 48]) {
--- a/bench/soak/badentry.ts
+++ b/bench/soak/badentry.ts
@@ -2,9 +2,9 @@
 import { createServer, request, type IncomingMessage, type ServerResponse } from 'node:http';
 
 /**
- * A small entry without care, with one defect by its name: it shows that the soak finds what it looks for. It
- * is run as `node badentry.js DEFECT`; without a defect it keeps what a run without faults looks at. It remembers no
- * request: where some end their servers, that is its defect `sends-on`.
+ * A minimal entry with one planted defect, which shows that the soak finds that defect. Without a defect it keeps the
+ * promises that a run without faults checks. It does not track poison requests at all, which is the defect `sends-on`.
+ * Usage: `node badentry.js DEFECT`.
  */
 const [, , defect = 'none'] = process.argv;
 
@@ -34,11 +34,11 @@
 }
 
 const READ_EVERY_MS = 100;
-/** One request in this many meets the defect. */
-const RATE = 10;
+/** Defects that do not affect every request affect one in this many. */
+const DEFECT_ONE_IN = 10;
 const ENTRIES = 3;
 const COST = 200;
-const PASSED_ON = [
+const FORWARDED_HEADERS = [
   'tarragonstile-request-id',
   'tarragonstile-response-signature',
   'server-limit',
@@ -50,16 +50,16 @@
 ) as Settings;
 const servers = new Map<string, Server>();
 let paths: readonly string[] = [];
-/** Customers by their keys; undefined where none are configured. */
+/** Customers by key; undefined if none are configured. */
 let keys: Map<string, string> | undefined;
-/** What each customer may still send here, and when that was worked out. */
+/** Token bucket of each customer: the remaining tokens and when they were computed. */
 const left = new Map<string, { tokens: number; atMs: number }>();
 const limits = new Map<string, number>();
-/** What servers have said of themselves in their answers. */
+/** What servers have reported in their answers. */
 const leaving = new Set<string>();
 const pausedUntilMs = new Map<string, number>();
 const serverLimits = new Map<string, number>();
-/** When each server with a limit may be sent the next request from here. */
+/** When this entry may send the next request to each server with a limit. */
 const nextAtMs = new Map<string, number>();
 let reads = 0;
 let count = 0;
@@ -80,26 +80,26 @@
   });
 }
 
-function takeCustomers({ tenants }: { tenants?: readonly Customer[] }): void {
+function applyCustomers({ tenants }: { tenants?: readonly Customer[] }): void {
   if (!tenants) return;
   if (!keys || defect !== 'keeps-keys') keys = new Map();
   for (const { name, api_keys: own, rate_per_s: rate } of tenants) {
-    // Without a word from the others each entry has its part only.
+    // Entries do not coordinate, so each one uses an equal share of the limit.
     limits.set(name, defect === 'own-quota' ? rate : rate / ENTRIES);
     for (const key of own) keys.set(key, name);
   }
 }
 
-/** Whether a customer's limit bears one more request. */
-function bears(customer: string): boolean {
+/** Takes the tokens of one request; returns false if the customer's limit does not allow it. */
+function takeTokens(customer: string): boolean {
   const rate = limits.get(customer) ?? 0;
   if (rate === 0) return true;
   const nowMs = performance.now();
   const known = left.get(customer) ?? { tokens: rate, atMs: nowMs };
   const tokens = Math.min(rate, known.tokens + ((nowMs - known.atMs) * rate) / 1000);
-  const isBorne = tokens >= COST;
-  left.set(customer, { tokens: isBorne ? tokens - COST : tokens, atMs: nowMs });
-  return isBorne;
+  const isAllowed = tokens >= COST;
+  left.set(customer, { tokens: isAllowed ? tokens - COST : tokens, atMs: nowMs });
+  return isAllowed;
 }
 
 function take({ key, value }: Item): void {
@@ -110,7 +110,7 @@
     const { routes } = JSON.parse(text) as { routes: { path_prefix: string }[] };
     const all = routes.map(({ path_prefix: prefix }) => prefix);
     const newest = all.find((prefix) => prefix.startsWith('/probe-'));
-    takeCustomers(JSON.parse(text) as { tenants?: readonly Customer[] });
+    applyCustomers(JSON.parse(text) as { tenants?: readonly Customer[] });
     paths = isStale ? all.filter((prefix) => prefix !== newest) : all;
   }
   if (!key.startsWith('servers/')) return;
@@ -118,22 +118,22 @@
   servers.set(id, { ...(JSON.parse(text) as Omit<Server, 'id'>), id });
 }
 
-/** Without a word from the others each entry has its part of a limit only. */
+/** Interval between requests to a limited server: entries do not coordinate, so each one uses an equal share. */
 function gapMs(perS: number): number {
   return 1000 / (defect === 'whole-limit' ? perS : perS / ENTRIES);
 }
 
-function mayEnter({ id }: Server): boolean {
+function maySend({ id }: Server): boolean {
   return !serverLimits.has(id) || performance.now() >= (nextAtMs.get(id) ?? 0);
 }
 
-function enter({ id }: Server): void {
+function recordSend({ id }: Server): void {
   const perS = serverLimits.get(id);
   if (perS !== undefined) nextAtMs.set(id, performance.now() + gapMs(perS));
 }
 
-/** Takes what a server says of itself. */
-function hear({ id }: Server, status: number, headers: IncomingMessage['headers']): void {
+/** Applies what a server reports in its answer. */
+function applyReport({ id }: Server, status: number, headers: IncomingMessage['headers']): void {
   const limit = headers['server-limit'];
   if (limit === undefined) serverLimits.delete(id);
   else if (serverLimits.get(id) !== Number(limit)) {
@@ -147,7 +147,7 @@
 
 async function read(): Promise<void> {
   reads += 1;
-  // The list is newer than what was heard before, it thinks.
+  // The defect: each read of the list overrides what servers have reported.
   if (defect === 'wiped') leaving.clear();
   try {
     let after = '';
@@ -165,7 +165,12 @@
     }
     for (const id of servers.keys()) if (!present.has(`servers/${id}`)) servers.delete(id);
   } catch (thrown) {
-    console.log(JSON.stringify({ message: 'store not read', detail: String(thrown) }));
+    console.log(
+      JSON.stringify({
+        message: 'store not read: continuing with the last known state',
+        detail: String(thrown),
+      }),
+    );
   }
   if (reads === 1) console.log(JSON.stringify({ message: 'state read' }));
   setTimeout(() => {
@@ -174,15 +179,15 @@
 }
 
 function choose(service: string, model: string): Server | undefined {
-  const able = [...servers.values()].filter(
+  const capable = [...servers.values()].filter(
     (server) =>
       server.service === service &&
       (server.state === 'ready' || defect === 'drain') &&
       (model === '' || server.models.some(({ name }) => name === model)),
   );
-  const open = able.filter((server) => !leaving.has(server.id) && mayEnter(server));
-  const awake = open.filter(({ id }) => (pausedUntilMs.get(id) ?? 0) < performance.now());
-  const chosen = defect === 'pause-last' && awake.length === 0 ? open : awake;
+  const open = capable.filter((server) => !leaving.has(server.id) && maySend(server));
+  const active = open.filter(({ id }) => (pausedUntilMs.get(id) ?? 0) < performance.now());
+  const chosen = defect === 'pause-last' && active.length === 0 ? open : active;
   return chosen[count % Math.max(1, chosen.length)];
 }
 
@@ -202,13 +207,13 @@
     if (defect !== 'forged') headers['tarragonstile-tenant'] = keys.get(key);
   }
   const { method, url: path } = incoming;
-  enter(server);
+  recordSend(server);
   const sent = request({ host, port, method, path, headers, agent: false }, (answer) => {
     let body = '';
     answer.on('data', (chunk: Buffer) => {
       body += chunk.toString('utf8');
     });
-    hear(server, answer.statusCode ?? 502, answer.headers);
+    applyReport(server, answer.statusCode ?? 502, answer.headers);
     answer.on('end', () => done(answer.statusCode ?? 502, answer.headers, body));
   });
   sent.on('error', () => done(502, {}, ''));
@@ -218,7 +223,7 @@
   sent.end();
 }
 
-/** Orders that nobody asked for, from a holder that changes. */
+/** Sends an order that no plan calls for; with the defect `holders` under alternating holder names. */
 async function order(server: Server): Promise<void> {
   const [host, port] = server.address.split(':');
   const holder = defect === 'holders' ? `${settings.host}-${count % 2}` : settings.host;
@@ -235,27 +240,27 @@
   });
 }
 
-function spoil(body: string): string {
+function corrupt(body: string): string {
   if (defect === 'mixed') return previousBody;
   if (defect === 'short') return body.slice(0, -1);
   return defect === 'skipped' ? body.replace(/id: 2\n.*\n\n/, '') : body;
 }
 
-function pass(
+function forward(
   response: ServerResponse,
   status: number,
   headers: IncomingMessage['headers'],
   body: string,
 ): void {
-  const spoilt = count % RATE === 0 ? spoil(body) : body;
+  const sentBody = count % DEFECT_ONE_IN === 0 ? corrupt(body) : body;
   previousBody = `${body}!`;
-  const kept: Record<string, string> = { 'content-length': String(spoilt.length) };
-  for (const name of PASSED_ON) {
+  const kept: Record<string, string> = { 'content-length': String(sentBody.length) };
+  for (const name of FORWARDED_HEADERS) {
     const value = headers[name];
-    const isLost = defect === 'unsigned' && count % RATE === 0;
-    if (typeof value === 'string' && !isLost) kept[name] = value;
+    const isDropped = defect === 'unsigned' && count % DEFECT_ONE_IN === 0;
+    if (typeof value === 'string' && !isDropped) kept[name] = value;
   }
-  response.writeHead(status, kept).end(spoilt);
+  response.writeHead(status, kept).end(sentBody);
 }
 
 function serve(incoming: IncomingMessage, response: ServerResponse): void {
@@ -270,24 +275,24 @@
     response.writeHead(401).end();
     return;
   }
-  if (customer !== undefined && !bears(customer)) {
+  if (customer !== undefined && !takeTokens(customer)) {
     response.writeHead(429).end();
     return;
   }
   const wanted = String(incoming.headers['tarragonstile-model'] ?? '');
   const [model = '', adapter] = wanted.split('/');
   const server = choose(model === '' ? 'plain' : 'engine', model);
-  if (defect === 'hang' && count % RATE === 0) return;
+  if (defect === 'hang' && count % DEFECT_ONE_IN === 0) return;
   if (!server || adapter !== undefined) {
     response.writeHead(503).end();
     return;
   }
   if (defect === 'limit' || defect === 'holders') void order(choose('engine', 'm1') ?? server);
-  const isMet = count % RATE === 0 && path.startsWith('/charge');
-  if (defect === 'twice' && isMet) send(incoming, server, () => undefined);
+  const isAffected = count % DEFECT_ONE_IN === 0 && path.startsWith('/charge');
+  if (defect === 'twice' && isAffected) send(incoming, server, () => undefined);
   send(incoming, server, (status, headers, body) => {
-    if (defect === 'false-refusal' && isMet) response.writeHead(503).end();
-    else pass(response, status, headers, body);
+    if (defect === 'false-refusal' && isAffected) response.writeHead(503).end();
+    else forward(response, status, headers, body);
   });
 }
 
--- a/bench/soak/call.ts
+++ b/bench/soak/call.ts
@@ -1,32 +1,33 @@
 import type { CallerKey } from './callerkey.js';
 
-/** The kinds of request that the soak's callers make. */
+/** Kinds of request that the soak's callers send. */
 export type CallKind = 'lookup' | 'charge' | 'draft' | 'batch' | 'probe' | 'crash';
 
-/** One request as its caller saw it. */
+/** One request as its caller observed it. */
 export interface Call {
   readonly id: string;
   readonly kind: CallKind;
   readonly entry: number;
-  /** The entry's life in which it was sent. */
-  readonly life: number;
+  /** Number of the entry's process start during which it was sent. */
+  readonly startCount: number;
   readonly sentAtMs: number;
-  /** For probes: the configuration version whose route it asks for. */
+  /** For probes: the configuration version whose route is requested. */
   readonly version: number;
-  /** What it came with; absent where no customers are configured. */
+  /** Key that was sent; absent if no customers are configured. */
   readonly held: CallerKey | undefined;
   status: number | undefined;
   signature: string | undefined;
   echoedId: string | undefined;
-  /** Its answer named a limit of the server that gave it, or said that the server leaves. */
-  saidLimit: boolean;
-  saidLeaving: boolean;
+  /** True if the answer named a rate limit of the server that gave it. */
+  hasServerLimit: boolean;
+  /** True if the answer reported that the server is leaving. */
+  hasServerLeaving: boolean;
   body: string;
-  /** True if the answer's framing says that it is whole. */
+  /** True if the answer was complete by its HTTP framing. */
   isWhole: boolean;
   endedAtMs: number | undefined;
-  /** When the caller left by itself. */
+  /** When the caller disconnected before the answer was complete. */
   leftAtMs: number | undefined;
-  /** Why no answer came. */
+  /** Why no complete answer came. */
   error: string | undefined;
 }
--- a/bench/soak/callerkey.ts
+++ b/bench/soak/callerkey.ts
@@ -1,9 +1,9 @@
-/** The key that a call came with, and whose it is. */
+/** The key that a caller sent, and the customer that it belongs to. */
 export interface CallerKey {
-  /** Absent where none is sent. */
+  /** Undefined if no key is sent. */
   readonly key: string | undefined;
-  /** The customer that holds it; undefined for a key that nobody ever had. */
+  /** The customer that the key belongs to; undefined for a key that was never configured. */
   readonly customer: string | undefined;
-  /** For a changing key: the version that it came with. */
+  /** For a rotating key: the configuration version that introduced it. */
   readonly version: number | undefined;
 }
--- a/bench/soak/callers.ts
+++ b/bench/soak/callers.ts
@@ -3,25 +3,25 @@
 import type { Dice } from './dice.js';
 import { customers } from './customers.js';
 import { pause } from './pause.js';
-import { pickKey } from './pickkey.js';
+import { randomKey } from './randomkey.js';
 import type { Program } from './program.js';
 
 const DEADLINE_MS = 4000;
 const PAUSE_MS = 40;
-/** A caller without any answer is not kept longer than this: the witness has long seen that it was late. */
+/** A caller without an answer gives up after this; by then the request counts as late. */
 const GIVE_UP_MS = 2 * DEADLINE_MS;
 const HOST = 'caller.example';
 const MODELS = ['m1', 'm2', 'm1/a1', 'm1/a2', 'm2/a3', 'm3'];
 const KINDS: readonly CallKind[] = ['lookup', 'charge', 'draft', 'batch', 'probe'];
-/** One in this many callers leaves before its answer. */
+/** One in this many callers disconnects without waiting for its answer. */
 const LEAVES = 8;
-const LEAVE_MS = 120;
+const LEAVE_AFTER_MS = 120;
 
-/** Callers that keep their connections open and use them until the process at the other end is gone. */
+/** Callers that send requests over keep-alive connections to the entries. */
 export class Callers {
   readonly calls: Call[] = [];
 
-  /** The newest configuration version that the operator has written. */
+  /** The newest configuration version that was written. */
   version = 1;
 
   private isOver = false;
@@ -33,18 +33,18 @@
   constructor(
     private readonly entries: readonly Program[],
     private readonly dice: Dice,
-    /** Customers are configured: callers come with keys, and say that they are another's. */
+    /** True if customers are configured: callers then send keys, and a forged customer name. */
     private readonly isKeyed = false,
   ) {
     this.agents = entries.map(() => new Agent({ keepAlive: true, maxSockets: 64 }));
   }
 
-  /** Starts so many callers, each with one request at a time. */
+  /** Starts the given number of callers, each with one request at a time. */
   start(count: number): void {
     for (let at = 0; at < count; at += 1) void this.repeat(at % this.entries.length);
   }
 
-  /** Starts no more; resolves when every request has ended. */
+  /** Sends no more requests; resolves when every request has ended. */
   async stop(): Promise<void> {
     this.isOver = true;
     while (this.inFlight > 0) await pause(PAUSE_MS);
@@ -60,14 +60,14 @@
 
   private ask(entry: number): Promise<void> {
     const kind = this.dice.pick(KINDS);
-    const back = this.dice.below(2);
-    const version = Math.max(1, this.version - back);
+    const age = this.dice.below(2);
+    const version = Math.max(1, this.version - age);
     const path = kind === 'probe' ? `/probe-${version}/` : `/${kind}/1`;
     return this.sendCall(entry, kind, path, version);
   }
 
-  /** Asks for a path whose requests end the servers that run them. */
-  askCrashing(path: string, entry: number): Promise<void> {
+  /** Sends a poison request: one that ends each server that runs it. */
+  sendPoison(path: string, entry: number): Promise<void> {
     return this.sendCall(entry, 'crash', path, this.version);
   }
 
@@ -76,15 +76,15 @@
       id: `c${this.calls.length}`,
       kind,
       entry,
-      life: this.entries[entry]!.lifeCount,
+      startCount: this.entries[entry]!.startCount,
       sentAtMs: performance.now(),
       version,
-      held: this.isKeyed ? pickKey(this.version, this.dice) : undefined,
+      held: this.isKeyed ? randomKey(this.version, this.dice) : undefined,
       status: undefined,
       signature: undefined,
       echoedId: undefined,
-      saidLimit: false,
-      saidLeaving: false,
+      hasServerLimit: false,
+      hasServerLeaving: false,
       body: '',
       isWhole: false,
       endedAtMs: undefined,
@@ -104,7 +104,7 @@
       const sent = this.send(call, path, end);
       setTimeout(() => {
         sent.destroy();
-        end('gave up');
+        end('caller gave up');
       }, GIVE_UP_MS).unref();
       if (kind === 'crash' || this.dice.below(LEAVES) !== 0) return;
       setTimeout(() => {
@@ -112,7 +112,7 @@
         call.leftAtMs = performance.now();
         sent.destroy();
         end('left');
-      }, LEAVE_MS);
+      }, LEAVE_AFTER_MS);
     });
   }
 
@@ -135,17 +135,17 @@
     const agent = this.agents[call.entry];
     const { port } = this.entries[call.entry]!;
     const sent = request({ host: '127.0.0.1', port, method, path, headers, agent }, (answer) => {
-      const mark = call;
-      mark.status = answer.statusCode;
-      mark.signature = answer.headers['tarragonstile-response-signature'] as string | undefined;
-      mark.echoedId = answer.headers['tarragonstile-request-id'] as string | undefined;
-      mark.saidLimit = answer.headers['server-limit'] !== undefined;
-      mark.saidLeaving = answer.headers['server-leaving'] === '1';
+      const target = call;
+      target.status = answer.statusCode;
+      target.signature = answer.headers['tarragonstile-response-signature'] as string | undefined;
+      target.echoedId = answer.headers['tarragonstile-request-id'] as string | undefined;
+      target.hasServerLimit = answer.headers['server-limit'] !== undefined;
+      target.hasServerLeaving = answer.headers['server-leaving'] === '1';
       answer.on('data', (chunk: Buffer) => {
-        mark.body += chunk.toString('utf8');
+        target.body += chunk.toString('utf8');
       });
       answer.on('end', () => {
-        mark.isWhole = answer.complete;
+        target.isWhole = answer.complete;
         end();
       });
       answer.on('error', (error) => end(error.message));
--- a/bench/soak/dice.ts
+++ b/bench/soak/dice.ts
@@ -1,7 +1,7 @@
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
-/** Chances that a seed decides. */
+/** Pseudo-random choices that a seed determines. */
 export class Dice {
   private readonly generator;
 
@@ -9,6 +9,7 @@
     this.generator = xoroshiro128plus(seed);
   }
 
+  /** Returns an integer from 0 to `limit - 1`. */
   below(limit: number): number {
     return uniformInt(this.generator, 0, limit - 1);
   }
--- a/bench/soak/entrycommand.ts
+++ b/bench/soak/entrycommand.ts
@@ -1,6 +1,6 @@
 import { join } from 'node:path';
 
-/** The entry of the prepared platform as it was built, run by this Node.js. */
+/** Command that runs the built entry of platform/ under this Node.js. */
 export const entryCommand: readonly string[] = [
   process.execPath,
   join(import.meta.dirname, '..', '..', 'platform', 'main.js'),
--- a/bench/soak/faults.ts
+++ b/bench/soak/faults.ts
@@ -1,6 +1,6 @@
 import type { ServerBehavior } from '../../standin/platform/index.js';
 import type { Dice } from './dice.js';
-import type { ProxyManner } from './proxy.js';
+import type { ProxyMode } from './proxy.js';
 import type { Site } from './site.js';
 
 const MANNERS: readonly ServerBehavior[] = [
@@ -15,11 +15,11 @@
   'unframed',
   'extra',
 ];
-const STORE_MANNERS: readonly ProxyManner[] = ['delay', 'silent', 'one-way', 'refuse'];
-const SERVER_MANNERS: readonly ProxyManner[] = ['delay', 'silent', 'refuse'];
+const STORE_MODES: readonly ProxyMode[] = ['delay', 'silent', 'one-way', 'refuse'];
+const SERVER_MODES: readonly ProxyMode[] = ['delay', 'silent', 'refuse'];
 const STORE_FAULTS = ['unavailable', 'refused', 'answer-lost', 'silent', 'rubbish'] as const;
 const STORE_PATHS = ['/kv-watch', '/kv-range', '/kv-txn', '/kv-key'];
-/** How long a cut or a freeze lasts: shorter and longer than a turn and a record's life. */
+/** Longest cut or freeze. Durations fall below and above the order lease and the lifetime of records. */
 const LONGEST_MS = 4000;
 const LATE_ORDER_MS = 1500;
 
@@ -27,7 +27,7 @@
   setTimeout(act, ms);
 }
 
-/** One fault by its name; each may come while others last. */
+/** Injects a fault, also while others last, and returns a description of it. */
 type Fault = (site: Site, dice: Dice) => string;
 
 const kill: Fault = ({ entries }, dice) => {
@@ -64,19 +64,19 @@
 const cutStore: Fault = (site, dice) => {
   const at = dice.below(site.storeProxies.length);
   const proxy = site.storeProxies[at]!;
-  proxy.manner = dice.pick(STORE_MANNERS);
+  proxy.mode = dice.pick(STORE_MODES);
   const ms = dice.below(LONGEST_MS);
-  const mark = () => {
-    site.entries[at]!.disturb();
+  const recordDisturbance = () => {
+    site.entries[at]!.recordDisturbance();
     site.storeDisturbedAtMs.push(performance.now());
   };
-  mark();
+  recordDisturbance();
   later(ms, () => {
-    proxy.manner = 'pass';
+    proxy.mode = 'pass';
     proxy.reset();
-    mark();
+    recordDisturbance();
   });
-  return `entry-${at} ${proxy.manner} for ${ms} ms`;
+  return `entry-${at} ${proxy.mode} for ${ms} ms`;
 };
 
 const storeFaults: Fault = (site, dice) => {
@@ -94,45 +94,45 @@
 };
 
 const cutServer: Fault = (site, dice) => {
-  const { proxy, server } = dice.pick(site.present());
-  proxy.manner = dice.pick(SERVER_MANNERS);
+  const { proxy, server } = dice.pick(site.active());
+  proxy.mode = dice.pick(SERVER_MODES);
   const ms = dice.below(LONGEST_MS / 2);
   site.serversDisturbedAtMs.push(performance.now());
   later(ms, () => {
-    proxy.manner = 'pass';
+    proxy.mode = 'pass';
     proxy.reset();
     site.serversDisturbedAtMs.push(performance.now());
   });
-  return `${server.id} ${proxy.manner} for ${ms} ms`;
+  return `${server.id} ${proxy.mode} for ${ms} ms`;
 };
 
 const resetServer: Fault = (site, dice) => {
-  const { proxy, server } = dice.pick(site.present());
+  const { proxy, server } = dice.pick(site.active());
   proxy.reset();
   site.serversDisturbedAtMs.push(performance.now());
   return server.id;
 };
 
 const misbehave: Fault = (site, dice) => {
-  const { server } = dice.pick(site.present());
-  const manner = dice.pick(MANNERS);
-  for (let at = 0; at <= dice.below(4); at += 1) server.behaviors.push(manner);
-  return `${server.id} ${manner}`;
+  const { server } = dice.pick(site.active());
+  const behavior = dice.pick(MANNERS);
+  for (let at = 0; at <= dice.below(4); at += 1) server.behaviors.push(behavior);
+  return `${server.id} ${behavior}`;
 };
 
 const silence: Fault = (site) => {
-  for (const { server } of site.present()) server.behaviors.push('silent', 'silent');
+  for (const { server } of site.active()) server.behaviors.push('silent', 'silent');
   return 'all';
 };
 
-/** Work that takes a while is what a stop may cut. */
+/** Slow requests are those that a stop could cut. */
 const slowDown: Fault = (site) => {
-  for (const { server } of site.present()) server.behaviors.push(...Array<'slow'>(6).fill('slow'));
+  for (const { server } of site.active()) server.behaviors.push(...Array<'slow'>(6).fill('slow'));
   return 'all';
 };
 
 const spoilOrder: Fault = (site, dice) => {
-  const { server } = dice.pick(site.present());
+  const { server } = dice.pick(site.active());
   const isLate = dice.below(2) === 0;
   const ms = dice.below(LATE_ORDER_MS);
   server.orderFaults.push(isLate ? { type: 'late', ms } : { type: 'answer-lost' });
@@ -140,23 +140,23 @@
 };
 
 const replaceServer: Fault = (site, dice) => {
-  const old = dice.pick(site.present());
+  const old = dice.pick(site.active());
   void site.addServer(old.server.service, [...old.server.models.keys()]);
   site.drain(old);
   return old.server.id;
 };
 
 const configure: Fault = (site) => {
-  site.accept();
+  site.applyConfiguration();
   return `version ${site.version}`;
 };
 
 const configureOften: Fault = (site) => {
-  for (let at = 0; at < 3; at += 1) later(at * 200, () => site.accept());
+  for (let at = 0; at < 3; at += 1) later(at * 200, () => site.applyConfiguration());
   return 'three versions';
 };
 
-/** All faults by name. */
+/** Faults that seeds of all ranges include, by name. */
 export const faults: Readonly<Record<string, Fault>> = {
   kill,
   stop,
--- a/bench/soak/knownfaults.ts
+++ b/bench/soak/knownfaults.ts
@@ -1,7 +1,12 @@
 import { faults } from './faults.js';
-import { hostFaults } from './hostfaults.js';
-import { listFaults } from './listfaults.js';
-import { needFaults } from './needfaults.js';
+import { suspensionFaults } from './suspensionfaults.js';
+import { serverListFaults } from './serverlistfaults.js';
+import { reportedStateFaults } from './reportedstatefaults.js';
 
-/** Every fault by its name, whichever seeds draw it. */
-export const knownFaults = { ...faults, ...listFaults, ...hostFaults, ...needFaults };
+/** The faults of all seed ranges, by name. */
+export const knownFaults = {
+  ...faults,
+  ...serverListFaults,
+  ...suspensionFaults,
+  ...reportedStateFaults,
+};
--- a/bench/soak/main.ts
+++ b/bench/soak/main.ts
@@ -8,29 +8,29 @@
 
 const { values } = parseArgs({
   options: {
-    /** The first seed; a fresh one without it. */
+    /** The first seed; derived from the time of day by default. */
     seed: { type: 'string', default: String(Date.now() % 1_000_000) },
-    /** How many seeds to run, one after the other. */
+    /** Number of consecutive seeds to run, one after the other. */
     seeds: { type: 'string', default: '1' },
-    /** Seconds of each run. */
+    /** Duration of each run in seconds. */
     for: { type: 'string', default: '30' },
     entries: { type: 'string', default: '3' },
     callers: { type: 'string', default: '24' },
-    /** Names of faults, parted by commas; all without it. */
+    /** Comma-separated names of the faults to inject; by default all that the seed's range includes. */
     faults: { type: 'string' },
-    /** Longest pause between two faults in ms. */
+    /** Longest interval between two faults, in ms. */
     gap: { type: 'string', default: '900' },
-    /** What a busy machine may add to each bound, in ms. */
+    /** Time in ms that is added to each time bound, for a busy machine. */
     slack: { type: 'string', default: '1500' },
-    /** Runs a small entry with this defect in place of the real one. */
+    /** Runs the small entry of badentry.ts with this defect in place of the real entry. */
     defect: { type: 'string' },
-    /** Requests that end servers come, and hosts are suspended: as all seeds from 20,000 on. */
+    /** Adds poison requests and suspended hosts; the default for seeds from 20,000 on. */
     harsh: { type: 'boolean' },
-    /** Customers are configured, and callers come with keys: as all seeds from 30,000 on. */
+    /** Configures customers, and callers send keys; the default for seeds from 30,000 on. */
     keyed: { type: 'boolean' },
-    /** Entries on hosts that are suspended go by a clock that stands still meanwhile. */
+    /** Entries on suspended hosts use a clock that does not advance during the suspension. */
     steady: { type: 'boolean', default: false },
-    /** Prints the last lines of the entries where a promise was broken. */
+    /** Prints the last log lines of the entries if a promise was broken. */
     lines: { type: 'boolean', default: false },
   },
 });
@@ -63,7 +63,7 @@
   });
   const isBroken = result.breaches.length > 0;
   if (isBroken) failed += 1;
-  const shown = { ...result, faults: isBroken ? faults : faults.length };
-  console.log(JSON.stringify(values.lines && isBroken ? { ...shown, lines } : shown));
+  const summary = { ...result, faults: isBroken ? faults : faults.length };
+  console.log(JSON.stringify(values.lines && isBroken ? { ...summary, lines } : summary));
 }
 process.exit(failed > 0 ? 1 : 0);
--- a/bench/soak/crashing.ts
+++ b/bench/soak/poisonload.ts
@@ -1,36 +1,36 @@
 import type { Dice } from './dice.js';
 import { pause } from './pause.js';
-import type { Listed, Site } from './site.js';
+import type { ListedServer, Site } from './site.js';
 
-/** What a request that ends servers is sent with. */
-interface CrashingOptions {
+/** What the poison load works with. */
+interface PoisonLoadOptions {
   readonly site: Site;
   readonly dice: Dice;
-  /** Sends a request for a path to the entry of this number, and waits for its end. */
+  /** Sends a request to the entry with this index and waits until it has ended. */
   ask(path: string, entry: number): Promise<void>;
 }
 
-/** Two requests, as each has to be told from the other. */
+/** Two poison requests, which entries have to tell apart. */
 const PATHS = ['/draft/crash-0', '/batch/crash-1'];
 const LONGEST_RUN_MS = 300;
-/** How often the caller of each comes back, at any entry. */
+/** Longest pause before a caller sends its request again, to a random entry. */
 const LONGEST_PAUSE_MS = 1500;
-/** A server that has ended is back, as another one, after this; the list forgets it by then. */
-const BACK_MS = 1200;
+/** A server that has ended is removed from the list and replaced by a new one after this. */
+const REPLACE_AFTER_MS = 1200;
 
-/** Requests that end each server that runs them, come back again and again, at any entry. */
-export class Crashing {
+/** Callers that send poison requests again and again: each ends every server that runs it. */
+export class PoisonLoad {
   private readonly afterMs = new Map<string, number>();
 
   private isOver = false;
 
-  constructor(private readonly options: CrashingOptions) {
+  constructor(private readonly options: PoisonLoadOptions) {
     for (const path of PATHS) this.afterMs.set(path, 10 + options.dice.below(LONGEST_RUN_MS));
   }
 
   start(): void {
     const { site } = this.options;
-    for (const listed of site.listed) this.arm(listed);
+    for (const listed of site.servers) this.arm(listed);
     site.added = (listed) => this.arm(listed);
     for (const path of PATHS) void this.repeat(path);
   }
@@ -39,22 +39,22 @@
     this.isOver = true;
   }
 
-  private arm(listed: Listed): void {
+  private arm(listed: ListedServer): void {
     const { server } = listed;
     server.crashDelayMsByPath = this.afterMs;
-    server.onCrash = () => this.crashed(listed);
+    server.onCrash = () => this.onCrash(listed);
   }
 
-  private crashed(listed: Listed): void {
+  private onCrash(listed: ListedServer): void {
     const { site } = this.options;
     const { server } = listed;
     listed.proxy.close();
     site.serversDisturbedAtMs.push(performance.now());
     setTimeout(() => {
       if (this.isOver) return;
-      site.drop(listed);
+      site.removeListing(listed);
       void site.addServer(server.service, [...server.models.keys()]);
-    }, BACK_MS);
+    }, REPLACE_AFTER_MS);
   }
 
   private async repeat(path: string): Promise<void> {
--- a/bench/soak/ports.ts
+++ b/bench/soak/ports.ts
@@ -15,11 +15,11 @@
 }
 
 /**
- * Ports of the loopback that are free, each given once: a program that has not started yet does not listen on its
- * own. Two entries that had been given one port left the second one starting in vain for ever.
+ * Allocates free loopback ports, each one only once. A program that has not started yet does not listen on its port,
+ * so a check for listeners is not enough: two entries with the same port would leave the second unable to start.
  */
 export class Ports {
-  private readonly given = new Set<number>();
+  private readonly allocated = new Set<number>();
 
   constructor(private readonly range: PortRange) {}
 
@@ -27,8 +27,8 @@
     const ports: number[] = [];
     while (ports.length < count) {
       const port = this.range.first + Math.floor(Math.random() * this.range.count);
-      if (this.given.has(port)) continue;
-      this.given.add(port);
+      if (this.allocated.has(port)) continue;
+      this.allocated.add(port);
       if (await isFree(port)) ports.push(port);
     }
     return ports;
--- a/bench/soak/program.ts
+++ b/bench/soak/program.ts
@@ -4,35 +4,35 @@
 import { createInterface } from 'node:readline';
 import { join } from 'node:path';
 
-/** One life of a program's process. */
-interface Life {
+/** One process of a program, from its start to its exit. */
+interface ProcessRun {
   readonly child: ChildProcess;
-  /** A signal of ours ends it: any other end is its own. */
-  isToEnd: boolean;
-  hasSpoken: boolean;
+  /** True once the soak has sent a signal that ends it; any other exit is unexpected. */
+  isStopping: boolean;
+  hasLogged: boolean;
 }
 
 const RESTART_MS = 300;
 
-/** A real program that is started, signalled and started again, always at the same addresses. */
+/** An entry process that is started, signalled and restarted, always at the same addresses. */
 export class Program {
-  /** Times at which something was done to it. */
+  /** Times of all starts, signals and faults that concerned it. */
   readonly disturbedAtMs: number[] = [];
 
-  /** Those of them at which it was killed or frozen, or woke again. */
-  readonly struckAtMs: number[] = [];
+  /** Those times at which it was killed, frozen or thawed. */
+  readonly interruptedAtMs: number[] = [];
 
-  /** Ends that no signal of ours caused. */
-  readonly ownEnds: string[] = [];
+  /** Exits that no signal of the soak caused. */
+  readonly unexpectedExits: string[] = [];
 
-  /** Its last lines, to tell what came before a fault. */
+  /** Its log lines over all runs. */
   readonly lines: string[] = [];
 
-  lifeCount = 0;
+  startCount = 0;
 
   isFrozen = false;
 
-  private life: Life | undefined;
+  private run: ProcessRun | undefined;
 
   private isOver = false;
 
@@ -50,79 +50,82 @@
     const [program = '', ...args] = this.command;
     const env = { ...process.env, TARRAGONSTILE_NODE_FILE: file };
     const child = spawn(program, args, { env, stdio: ['ignore', 'pipe', 'pipe'] });
-    const life: Life = { child, isToEnd: false, hasSpoken: false };
-    this.life = life;
-    this.lifeCount += 1;
-    this.disturb();
+    const run: ProcessRun = { child, isStopping: false, hasLogged: false };
+    this.run = run;
+    this.startCount += 1;
+    this.recordDisturbance();
     for (const stream of [child.stdout, child.stderr]) {
       createInterface({ input: stream }).on('line', (line) => {
-        life.hasSpoken = true;
+        run.hasLogged = true;
         this.lines.push(line);
       });
     }
-    child.on('exit', (code, signal) => this.ended(life, `${code ?? signal}`));
+    child.on('exit', (code, signal) => this.ended(run, `${code ?? signal}`));
   }
 
-  /** Sends SIGTERM or SIGKILL; the process comes back a little later. */
+  /** Sends SIGTERM or SIGKILL; the program restarts 300 ms after the process has exited. */
   end(signal: 'SIGTERM' | 'SIGKILL'): void {
-    if (!this.life || this.life.child.exitCode !== null) return;
+    if (!this.run || this.run.child.exitCode !== null) return;
     this.thaw();
-    this.life.isToEnd = true;
-    if (signal === 'SIGKILL') this.strike();
-    else this.disturb();
-    this.life.child.kill(signal);
+    this.run.isStopping = true;
+    if (signal === 'SIGKILL') this.recordInterruption();
+    else this.recordDisturbance();
+    this.run.child.kill(signal);
   }
 
+  /** Sends SIGHUP, on which an entry reloads its settings. */
   hangUp(): void {
-    const { life } = this;
-    // Until its modules are loaded no program can take a SIGHUP: one that has logged something can.
-    if (life?.hasSpoken) life.child.kill('SIGHUP');
+    const { run } = this;
+    // SIGHUP ends a process that has not installed its handler yet. One that has logged a line has.
+    if (run?.hasLogged) run.child.kill('SIGHUP');
   }
 
+  /** Sends SIGSTOP. */
   freeze(): void {
-    if (this.life?.child.kill('SIGSTOP')) this.isFrozen = true;
-    this.strike();
+    if (this.run?.child.kill('SIGSTOP')) this.isFrozen = true;
+    this.recordInterruption();
   }
 
+  /** Sends SIGCONT to a frozen process. */
   thaw(): void {
     if (!this.isFrozen) return;
     this.isFrozen = false;
-    this.life?.child.kill('SIGCONT');
-    this.strike();
+    this.run?.child.kill('SIGCONT');
+    this.recordInterruption();
   }
 
-  /** True if it was neither killed nor frozen between these times. */
-  isUnstruck(fromMs: number, untilMs: number): boolean {
-    return !this.isFrozen && !this.struckAtMs.some((atMs) => atMs > fromMs && atMs < untilMs);
+  /** True if it was neither killed, frozen nor thawed between these times, and is not frozen now. */
+  isRunning(fromMs: number, untilMs: number): boolean {
+    return !this.isFrozen && !this.interruptedAtMs.some((atMs) => atMs > fromMs && atMs < untilMs);
   }
 
-  /** True if nothing was done to it from `fromMs` on; what lasts counts until it is over. */
+  /** True if nothing disturbed it after `fromMs`; a freeze counts until the thaw. */
   isCalmSince(fromMs: number): boolean {
     return !this.isFrozen && !this.disturbedAtMs.some((atMs) => atMs > fromMs);
   }
 
   async close(): Promise<void> {
     this.isOver = true;
-    const { life } = this;
-    if (!life || life.child.exitCode !== null || life.child.signalCode !== null) return;
-    life.isToEnd = true;
+    const { run } = this;
+    if (!run || run.child.exitCode !== null || run.child.signalCode !== null) return;
+    run.isStopping = true;
     this.thaw();
-    life.child.kill('SIGKILL');
-    await once(life.child, 'exit');
+    run.child.kill('SIGKILL');
+    await once(run.child, 'exit');
   }
 
-  disturb(): void {
+  recordDisturbance(): void {
     this.disturbedAtMs.push(performance.now());
   }
 
-  private strike(): void {
-    this.struckAtMs.push(performance.now());
-    this.disturb();
+  private recordInterruption(): void {
+    this.interruptedAtMs.push(performance.now());
+    this.recordDisturbance();
   }
 
-  private ended(life: Life, how: string): void {
+  private ended(run: ProcessRun, exit: string): void {
     const last = this.lines.at(-1) ?? '';
-    if (!life.isToEnd) this.ownEnds.push(`${this.name} ended by itself: ${how}, after ${last}`);
+    if (!run.isStopping) this.unexpectedExits.push(`${this.name} exited: ${exit}, after ${last}`);
     if (this.isOver) return;
     setTimeout(() => {
       if (!this.isOver) this.start();
--- a/bench/soak/witness.ts
+++ b/bench/soak/promisechecker.ts
@@ -1,9 +1,9 @@
 import type { Call } from './call.js';
-import { KeyWitness } from './keywitness.js';
-import { NeedWitness } from './needwitness.js';
+import { KeyChecker } from './keychecker.js';
+import { ReportedStateChecker } from './reportedstatechecker.js';
 import type { Site } from './site.js';
 
-/** A promise that was broken. */
+/** A broken promise. */
 export interface Breach {
   readonly promise: string;
   readonly detail: string;
@@ -11,52 +11,54 @@
 
 const EVENTS = [1, 2, 3, 4, 5].map((id) => `id: ${id}\ndata: piece ${id}\n\n`).join('');
 const PLAIN = 'the whole answer';
-/** Statuses that promise that a request has not run. */
+/** Statuses by which the system promises that a request has not run. */
 const NOT_RUN = new Set([408, 421, 429, 503]);
 const DEADLINE_MS = 4000;
 const DRAIN_MS = 2000;
 const APPLY_MS = 2000;
-const GONE_MS = 500;
-/** How long nothing may have been done to an entry, or the store, for a bound on it to hold. */
+const CANCEL_MS = 500;
+/** A time bound applies only if the entry and the store were undisturbed for this long before. */
 const CALM_MS = 3000;
-/** Configurations keep the routes of this many versions: a refusal of an older one says nothing. */
-const KEPT_VERSIONS = 4;
-/** Servers that end under a request until it has to be known, and sends that may come after that. */
-const ENDS_TO_KNOW = 3;
-const MOST_LATE_SENDS = 3;
+/** Later versions whose configurations still have a probe's route; a 404 proves nothing after that. */
+const ROUTE_VERSIONS = 4;
+/** Servers that have to end under a request before entries must withhold it. */
+const ENDS_UNTIL_WITHHELD = 3;
+/** Sends that are tolerated after that. */
+const MAX_LATE_SENDS = 3;
 
 /** One run of a request at a server. */
-interface Ran {
+interface ServerRun {
   readonly server: string;
   readonly behavior: string;
   readonly customer: string | undefined;
   readonly hasCredential: boolean;
   readonly atMs: number;
   readonly closedAtMs: number | undefined;
-  readonly leavesAtMs: number | undefined;
+  readonly drainAtMs: number | undefined;
 }
 
-/** Judges by what callers and servers have seen. */
-export class Witness {
+/** Checks the system's promises against what callers and servers observed. */
+export class PromiseChecker {
   private readonly breaches: Breach[] = [];
 
-  private readonly ran = new Map<string, Ran[]>();
+  private readonly runs = new Map<string, ServerRun[]>();
 
   constructor(
     private readonly site: Site,
     private readonly calls: readonly Call[],
-    /** What a busy machine may add to each bound. */
+    /** Time that is added to each bound, for a busy machine. */
     private readonly slackMs: number,
   ) {
-    for (const { server, leavesAtMs } of site.listed) {
+    for (const { server, drainAtMs } of site.servers) {
       for (const { id, ...seen } of server.requestLog) {
-        const runs = this.ran.get(id) ?? [];
-        runs.push({ ...seen, server: server.id, leavesAtMs });
-        this.ran.set(id, runs);
+        const runs = this.runs.get(id) ?? [];
+        runs.push({ ...seen, server: server.id, drainAtMs });
+        this.runs.set(id, runs);
       }
     }
   }
 
+  /** Returns every breach. */
   judge(): readonly Breach[] {
     for (const call of this.calls) {
       this.once(call);
@@ -68,20 +70,20 @@
       this.drained(call);
       this.inForce(call);
     }
-    this.neverBack();
+    this.noRevert();
     this.keys();
-    this.needs();
-    this.crashing();
+    this.reportedStates();
+    this.poison();
     this.orders();
-    for (const { ownEnds } of this.site.entries) {
-      for (const detail of ownEnds) this.breach('no process ends by itself', detail);
+    for (const { unexpectedExits: ownEnds } of this.site.entries) {
+      for (const detail of ownEnds) this.breach('no process exits unexpectedly', detail);
     }
     return this.breaches;
   }
 
   private keys(): void {
     const { site, slackMs } = this;
-    new KeyWitness({
+    new KeyChecker({
       site,
       slackMs,
       runsOf: (call) => this.runsOf(call),
@@ -90,18 +92,18 @@
     }).judge(this.calls);
   }
 
-  private needs(): void {
+  private reportedStates(): void {
     const { site, slackMs } = this;
     const breach = (promise: string, detail: string) => this.breach(promise, detail);
-    new NeedWitness({ site, slackMs, breach }, this.calls).judge();
+    new ReportedStateChecker({ site, slackMs, breach }, this.calls).judge();
   }
 
   private breach(promise: string, detail: string): void {
     this.breaches.push({ promise, detail });
   }
 
-  private runsOf(call: Call): readonly Ran[] {
-    return this.ran.get(call.id) ?? [];
+  private runsOf(call: Call): readonly ServerRun[] {
+    return this.runs.get(call.id) ?? [];
   }
 
   private isCalm(call: Call, fromMs: number): boolean {
@@ -112,123 +114,140 @@
     return !this.site.storeDisturbedAtMs.some((atMs) => atMs > fromMs - CALM_MS);
   }
 
+  /** Requests that must not be repeated run at most once. */
   private once(call: Call): void {
     const runs = this.runsOf(call);
     const isOnce = call.kind === 'charge' || call.kind === 'draft';
-    if (isOnce && runs.length > 1) this.breach('runs once at most', `${call.id}: ${runs.length}`);
+    if (isOnce && runs.length > 1) this.breach('runs at most once', `${call.id}: ${runs.length}`);
   }
 
+  /** A refusal by which a request has not run is true. */
   private refusal(call: Call): void {
     const isOnce = call.kind === 'charge' || call.kind === 'draft';
     if (!isOnce || !NOT_RUN.has(call.status ?? 0) || this.runsOf(call).length === 0) return;
-    this.breach('"not run" is true', `${call.id}: ${call.status}, but it ran`);
+    this.breach(
+      'a request refused as "not run" has not run',
+      `${call.id}: ${call.status}, but it ran`,
+    );
   }
 
+  /** An answer is signed by a server that ran this request, complete and in order. */
   private answer(call: Call): void {
     const { id, kind, status, signature, echoedId, body, isWhole } = call;
     if (status === undefined) return;
     const isSuccess = status >= 200 && status < 300;
-    if (isSuccess && signature === undefined) this.breach('answers are servers', `${id}: unsigned`);
+    if (isSuccess && signature === undefined) this.breach('answers are signed', `${id}: unsigned`);
     if (signature !== undefined && echoedId !== id) {
-      this.breach('an answer is to its own request', `${id}: says ${echoedId}`);
+      this.breach('an answer belongs to its own request', `${id}: the answer names ${echoedId}`);
     }
     const isKnown = this.runsOf(call).some(({ server }) => signature === `by-${server}`);
     if (signature !== undefined && !isKnown) {
-      this.breach('an answer is to its own request', `${id}: ${signature} never ran it`);
+      this.breach(
+        'an answer belongs to its own request',
+        `${id}: signed ${signature}, which never ran it`,
+      );
     }
     const expected = kind === 'draft' || kind === 'batch' ? EVENTS : PLAIN;
     if (!isSuccess) return;
-    if (isWhole && body !== expected) this.breach('answers are whole', `${id}: ${body}`);
+    if (isWhole && body !== expected) this.breach('answers are complete', `${id}: ${body}`);
     if (!expected.startsWith(body)) this.breach('answers are in order', `${id}: ${body}`);
   }
 
+  /** A request ends by its deadline unless its entry was interrupted. */
   private ended({ id, entry, sentAtMs, endedAtMs }: Call): void {
     const lastMs = sentAtMs + DEADLINE_MS + this.slackMs;
     if (endedAtMs !== undefined && endedAtMs <= lastMs) return;
-    if (!this.site.entries[entry]!.isUnstruck(sentAtMs - CALM_MS, endedAtMs ?? Infinity)) return;
-    this.breach('every request is answered in its time', id);
+    if (!this.site.entries[entry]!.isRunning(sentAtMs - CALM_MS, endedAtMs ?? Infinity)) return;
+    this.breach('every request ends by its deadline', id);
   }
 
-  /** A planned stop, a settings change or a configuration cuts no request that a server works on well. */
+  /** A planned stop, a settings change or a new configuration must not cut a request that a server is serving. */
   private stopped(call: Call): void {
     const { entry, sentAtMs, endedAtMs = Infinity, status, isWhole, leftAtMs } = call;
     if (leftAtMs !== undefined || (status !== undefined && isWhole)) return;
     const [run, ...others] = this.runsOf(call);
     const isServed = run?.behavior === 'serve' || run?.behavior === 'slow';
     if (!isServed || others.length > 0) return;
-    if (!this.site.entries[entry]!.isUnstruck(sentAtMs - CALM_MS, endedAtMs)) return;
+    if (!this.site.entries[entry]!.isRunning(sentAtMs - CALM_MS, endedAtMs)) return;
     const isDisturbed = this.site.serversDisturbedAtMs.some(
       (atMs) => atMs > sentAtMs - CALM_MS && atMs < endedAtMs,
     );
     if (!isDisturbed) this.breach('no planned stop cuts a request', `${call.id}: ${call.error}`);
   }
 
+  /** A server's work ends soon after the caller has disconnected. */
   private left(call: Call): void {
     const { leftAtMs } = call;
     if (leftAtMs === undefined) return;
-    if (!this.site.entries[call.entry]!.isUnstruck(leftAtMs - CALM_MS, leftAtMs + CALM_MS)) return;
-    for (const { behavior: manner, closedAtMs, server, atMs } of this.runsOf(call)) {
-      if (manner !== 'silent') continue;
+    if (!this.site.entries[call.entry]!.isRunning(leftAtMs - CALM_MS, leftAtMs + CALM_MS)) return;
+    for (const { behavior, closedAtMs, server, atMs } of this.runsOf(call)) {
+      if (behavior !== 'silent') continue;
       const endMs = closedAtMs ?? Infinity;
-      const lastMs = Math.max(leftAtMs, atMs) + GONE_MS + this.slackMs;
+      const lastMs = Math.max(leftAtMs, atMs) + CANCEL_MS + this.slackMs;
       if (endMs > lastMs) {
-        this.breach('work ends when its caller leaves', `${call.id} at ${server}`);
+        this.breach('work ends when its caller disconnects', `${call.id} at ${server}`);
       }
     }
   }
 
+  /** A server gets no new request some time after it was listed as draining. */
   private drained(call: Call): void {
-    for (const { server, atMs, leavesAtMs = Infinity } of this.runsOf(call)) {
-      if (atMs <= leavesAtMs + DRAIN_MS + this.slackMs || !this.isCalm(call, leavesAtMs)) continue;
-      this.breach('a leaving server gets no new work', `${call.id} at ${server}`);
+    for (const { server, atMs, drainAtMs = Infinity } of this.runsOf(call)) {
+      if (atMs <= drainAtMs + DRAIN_MS + this.slackMs || !this.isCalm(call, drainAtMs)) continue;
+      this.breach('a draining server gets no new work', `${call.id} at ${server}`);
     }
   }
 
+  /** A route is served shortly after the configuration with it was written. */
   private inForce(call: Call): void {
     const { id, kind, version, status, sentAtMs } = call;
     const acceptedAtMs = this.site.acceptedAtMs.get(version) ?? Infinity;
     if (kind !== 'probe' || status !== 404 || sentAtMs < acceptedAtMs + APPLY_MS + this.slackMs) {
       return;
     }
-    if (this.isKept(call) && this.isCalm(call, acceptedAtMs)) {
-      this.breach('a configuration is in force in seconds', `${id}: version ${version}`);
+    if (this.hasRoute(call) && this.isCalm(call, acceptedAtMs)) {
+      this.breach('a configuration takes effect within seconds', `${id}: version ${version}`);
     }
   }
 
-  /** Whether every version that may be in force by the call's end has the route that it asks for. */
-  private isKept({ version, endedAtMs = Infinity }: Call): boolean {
+  /** True if every version that may be in force by the call's end has the route that it requests. */
+  private hasRoute({ version, endedAtMs = Infinity }: Call): boolean {
     for (const [accepted, atMs] of this.site.acceptedAtMs) {
-      if (accepted > version + KEPT_VERSIONS && atMs < endedAtMs) return false;
+      if (accepted > version + ROUTE_VERSIONS && atMs < endedAtMs) return false;
     }
     return true;
   }
 
-  private neverBack(): void {
-    const newest = new Map<string, { version: number; atMs: number }[]>();
-    for (const { kind, status, version, entry, life, endedAtMs } of this.calls) {
+  /** An entry that has served a version never goes back to an earlier one. */
+  private noRevert(): void {
+    const seenVersions = new Map<string, { version: number; atMs: number }[]>();
+    for (const { kind, status, version, entry, startCount: life, endedAtMs } of this.calls) {
       if (kind !== 'probe' || status === undefined || status === 404) continue;
       if (status === 503 || endedAtMs === undefined) continue;
       const key = `${entry}/${life}`;
-      newest.set(key, [...(newest.get(key) ?? []), { version, atMs: endedAtMs }]);
+      seenVersions.set(key, [...(seenVersions.get(key) ?? []), { version, atMs: endedAtMs }]);
     }
     for (const call of this.calls) {
-      if (call.kind !== 'probe' || call.status !== 404 || !this.isKept(call)) continue;
-      const before = newest.get(`${call.entry}/${call.life}`) ?? [];
-      const was = before.find(
+      if (call.kind !== 'probe' || call.status !== 404 || !this.hasRoute(call)) continue;
+      const before = seenVersions.get(`${call.entry}/${call.startCount}`) ?? [];
+      const earlier = before.find(
         ({ version, atMs }) => version >= call.version && atMs < call.sentAtMs,
       );
-      if (!was) continue;
+      if (!earlier) continue;
       this.breach(
         'a configuration never reverts',
-        `${call.id}: ${call.version} after ${was.version}`,
+        `${call.id}: ${call.version} after ${earlier.version}`,
       );
     }
   }
 
-  /** Once three servers have ended under a request and all can know, calm entries send it on a few times at most. */
-  private crashing(): void {
+  /**
+   * Once three servers have ended under a request and all entries had time to learn of it, undisturbed entries send
+   * it on a few times at most.
+   */
+  private poison(): void {
     const entryOf = new Map(this.calls.map(({ id, entry }) => [id, entry]));
-    const runs = this.site.listed.flatMap(({ server }) => server.requestLog);
+    const runs = this.site.servers.flatMap(({ server }) => server.requestLog);
     const paths = new Set(
       this.calls
         .filter(({ kind }) => kind === 'crash')
@@ -237,28 +256,29 @@
     for (const path of paths) {
       const own = runs.filter((run) => run.path === path).sort((a, b) => a.atMs - b.atMs);
       const ends = own.map(({ closedAtMs = Infinity }) => closedAtMs).sort((a, b) => a - b);
-      const knownAtMs = (ends[ENDS_TO_KNOW - 1] ?? Infinity) + CALM_MS + this.slackMs;
+      const withheldAtMs = (ends[ENDS_UNTIL_WITHHELD - 1] ?? Infinity) + CALM_MS + this.slackMs;
       const late = own.filter(({ id, atMs }) => {
         const entry = this.site.entries[entryOf.get(id) ?? 0]!;
-        return atMs > knownAtMs && entry.isCalmSince(atMs - CALM_MS);
+        return atMs > withheldAtMs && entry.isCalmSince(atMs - CALM_MS);
       });
-      if (path === undefined || late.length <= MOST_LATE_SENDS) continue;
+      if (path === undefined || late.length <= MAX_LATE_SENDS) continue;
       const detail = `${path}: ${late.length} late of ${own.length} sends`;
-      this.breach('a request that ends servers is not sent on', detail);
+      this.breach('a poison request is not sent on', detail);
     }
   }
 
+  /** Engines stay within their memory and get orders from one order lease holder at a time. */
   private orders(): void {
-    for (const { server } of this.site.listed) {
+    for (const { server } of this.site.servers) {
       if (server.overcommitCount > 0) this.breach('memory is never overcommitted', server.id);
       const orders = [...server.orderLog].sort((a, b) => a.atMs - b.atMs);
       for (const [at, { order, atMs }] of orders.entries()) {
         const before = orders[at - 1];
         if (!before || before.order.holder === order.holder) continue;
-        const apartMs = atMs - before.atMs;
+        const intervalMs = atMs - before.atMs;
         const names = `${before.order.holder}, ${order.holder} at ${server.id}`;
-        if (apartMs < this.site.turnMs) {
-          this.breach('orders have one holder at a time', `${names}: ${Math.round(apartMs)} ms`);
+        if (intervalMs < this.site.orderLeaseMs) {
+          this.breach('orders have one holder at a time', `${names}: ${Math.round(intervalMs)} ms`);
         }
         if (order.fencing_token <= before.order.fencing_token) {
           this.breach('fencing tokens rise', names);
--- a/bench/soak/proxy.ts
+++ b/bench/soak/proxy.ts
@@ -1,13 +1,13 @@
 import { connect, createServer, type Socket } from 'node:net';
 
-/** What a proxy does with what passes it. */
-export type ProxyManner = 'pass' | 'delay' | 'silent' | 'one-way' | 'refuse';
+/** How a proxy treats connections and the data on them. */
+export type ProxyMode = 'pass' | 'delay' | 'silent' | 'one-way' | 'refuse';
 
 const DELAY_MS = 150;
 
-/** Between a process and what it talks to on the loopback: delays, resets, cuts one way, falls silent. */
+/** A TCP proxy on the loopback that can delay, reset, refuse, or silently drop data in one or both directions. */
 export class Proxy {
-  manner: ProxyManner = 'pass';
+  mode: ProxyMode = 'pass';
 
   private readonly pairs = new Set<readonly [Socket, Socket]>();
 
@@ -15,7 +15,7 @@
 
   constructor(private readonly targetPort: number) {}
 
-  /** Listens and gives its address. */
+  /** Starts to listen and returns its address. */
   listen(): Promise<string> {
     return new Promise((resolve) => {
       this.server.listen(0, '127.0.0.1', () => {
@@ -25,7 +25,7 @@
     });
   }
 
-  /** Resets every connection that is open. */
+  /** Resets every open connection. */
   reset(): void {
     for (const [near, far] of this.pairs) {
       near.resetAndDestroy();
@@ -38,24 +38,25 @@
     this.reset();
   }
 
+  /** Connects a new client to the target. */
   private take(near: Socket): void {
-    if (this.manner === 'refuse') {
+    if (this.mode === 'refuse') {
       near.resetAndDestroy();
       return;
     }
     const far = connect(this.targetPort, '127.0.0.1');
     const pair = [near, far] as const;
     this.pairs.add(pair);
-    near.on('data', (chunk) => this.pass(chunk, far, false));
-    far.on('data', (chunk) => this.pass(chunk, near, true));
+    near.on('data', (chunk) => this.forward(chunk, far, false));
+    far.on('data', (chunk) => this.forward(chunk, near, true));
     for (const [one, other] of [
       [near, far],
       [far, near],
     ] as const) {
-      // A reset stays a reset: as an ordinary end it would make an answer without a length look whole.
+      // A reset is passed on as a reset: as an ordinary end it would make an answer without a length look complete.
       one.on('error', () => other.resetAndDestroy());
       one.on('end', () => {
-        // Node tells a reset that comes beside data as an end; such a socket has no peer any more.
+        // Node reports a reset that arrives together with data as an end; such a socket has no remote address.
         if (one.remoteAddress === undefined) other.resetAndDestroy();
         else other.end();
       });
@@ -66,10 +67,10 @@
     }
   }
 
-  private pass(chunk: Buffer, to: Socket, isAnswer: boolean): void {
-    const { manner } = this;
-    if (manner === 'silent' || (manner === 'one-way' && isAnswer)) return;
-    if (manner === 'delay') setTimeout(() => to.writable && to.write(chunk), DELAY_MS);
+  private forward(chunk: Buffer, to: Socket, isAnswer: boolean): void {
+    const { mode } = this;
+    if (mode === 'silent' || (mode === 'one-way' && isAnswer)) return;
+    if (mode === 'delay') setTimeout(() => to.writable && to.write(chunk), DELAY_MS);
     else if (to.writable) to.write(chunk);
   }
 }
--- a/bench/soak/site.ts
+++ b/bench/soak/site.ts
@@ -7,22 +7,22 @@
 import { Program } from './program.js';
 import { Proxy } from './proxy.js';
 
-/** A server and what stands before it. */
-export interface Listed {
+/** A server in the store's server list, with the proxy in front of it. */
+export interface ListedServer {
   readonly server: PlatformServer;
   readonly proxy: Proxy;
   readonly address: string;
-  /** When it was said to leave. */
-  leavesAtMs: number | undefined;
+  /** When its listing became `draining` or was removed. */
+  drainAtMs: number | undefined;
 }
 
 const ZONES = ['z1', 'z2'];
 const HOST = 'caller.example';
-const TURN_MS = 1000;
+const ORDER_LEASE_MS = 1000;
 const GRACE_S = 4;
-/** How many of the newest probe routes a configuration has. */
-const PROBES = 5;
-const TARGET_MS = 500;
+/** Number of probe routes in a configuration: one for each of the newest versions. */
+const PROBE_ROUTES = 5;
+const TARGET_LATENCY_MS = 500;
 
 const ROUTES: Parameters<typeof configurationOf>[2] = [
   { name: 'lookup', kind: 'idempotent', service: 'plain', maxAttempts: 2 },
@@ -31,49 +31,55 @@
   { name: 'batch', kind: 'streaming', service: 'engine', maxAttempts: 2, resumable: true },
 ];
 
-function configuration(version: number, isKeyed: boolean): object {
-  const probes = Array.from({ length: PROBES }, (_, at) => version - at)
+function createConfiguration(version: number, isKeyed: boolean): object {
+  const probes = Array.from({ length: PROBE_ROUTES }, (_, at) => version - at)
     .filter((probe) => probe > 0)
     .map((probe) => ({ ...ROUTES[0]!, name: `probe-${probe}` }));
-  const routes = [...ROUTES, ...probes].map((route) => ({ ...route, targetLatencyMs: TARGET_MS }));
+  const routes = [...ROUTES, ...probes].map((route) => ({
+    ...route,
+    targetLatencyMs: TARGET_LATENCY_MS,
+  }));
   return configurationOf(version, HOST, routes, isKeyed ? customers.at(version) : undefined);
 }
 
 /**
- * Below the range from which the kernel takes ports of outgoing connections: while an entry was down, such a
- * connection had taken its port.
+ * Below the range from which the kernel takes the local ports of outgoing connections. Such a connection could
+ * otherwise take the port of an entry while that is down.
  */
-const PORTS = { first: 20_000, count: 10_000 };
+const PORT_RANGE = { first: 20_000, count: 10_000 };
 
-/** The platform in miniature with real entries as processes, and a proxy on each way between them. */
+/**
+ * The deployment under test: real entries as processes, a stand-in store and stand-in servers. A proxy stands on
+ * each connection from an entry to the store or to a server.
+ */
 export class Site {
   readonly store = new PlatformStore();
 
   readonly entries: Program[] = [];
 
-  /** One before the store for each entry. */
+  /** Proxies in front of the store, one for each entry. */
   readonly storeProxies: Proxy[] = [];
 
-  /** All servers that ever were, with those that have left. */
-  readonly listed: Listed[] = [];
+  /** All servers since the start, including those that have left. */
+  readonly servers: ListedServer[] = [];
 
-  /** When the store, or a way to it, was last disturbed. */
+  /** Times at which the store or a proxy in front of it was disturbed. */
   readonly storeDisturbedAtMs: number[] = [];
 
-  /** When a server's connections were reset or held up. */
+  /** Times at which a server's connections were reset or delayed. */
   readonly serversDisturbedAtMs: number[] = [];
 
-  /** When each configuration version was accepted. */
+  /** When each configuration version was written to the store. */
   readonly acceptedAtMs = new Map<number, number>();
 
   version = 0;
 
-  /** Called for each server that comes later. */
-  added: (listed: Listed) => void = () => {};
+  /** Called for each server that is added. */
+  added: (listed: ListedServer) => void = () => {};
 
   private readonly directory = mkdtempSync(join(tmpdir(), 'tarragonstile-soak-'));
 
-  private readonly ports = new Ports(PORTS);
+  private readonly ports = new Ports(PORT_RANGE);
 
   private serverCount = 0;
 
@@ -83,7 +89,7 @@
     const storePort = Number((await this.store.listen()).split(':')[1]);
     for (let at = 0; at < 3; at += 1) await this.addServer('plain');
     for (let at = 0; at < 4; at += 1) await this.addServer('engine', [`m${(at % 2) + 1}`]);
-    this.accept();
+    this.applyConfiguration();
     for (let at = 0; at < entryCount; at += 1) {
       const proxy = new Proxy(storePort);
       this.storeProxies.push(proxy);
@@ -92,10 +98,10 @@
     for (const entry of this.entries) entry.start();
   }
 
-  /** Writes the next configuration, as the operator does. */
-  accept(): void {
+  /** Writes the next configuration version, as the operator does. */
+  applyConfiguration(): void {
     this.version += 1;
-    this.store.put('op/config', configuration(this.version, this.isKeyed));
+    this.store.put('op/config', createConfiguration(this.version, this.isKeyed));
     this.acceptedAtMs.set(this.version, performance.now());
   }
 
@@ -106,56 +112,57 @@
     for (const model of models) server.models.set(model, new Set());
     await server.listen();
     const proxy = new Proxy(Number(server.address.split(':')[1]));
-    const listed: Listed = {
+    const listed: ListedServer = {
       server,
       proxy,
       address: await proxy.listen(),
-      leavesAtMs: undefined,
+      drainAtMs: undefined,
     };
-    this.listed.push(listed);
+    this.servers.push(listed);
     this.added(listed);
     server.onChange = () => {
-      if (listed.leavesAtMs === undefined) this.list(listed, 'ready');
+      if (listed.drainAtMs === undefined) this.writeListing(listed, 'ready');
     };
-    this.list(listed, 'ready');
+    this.writeListing(listed, 'ready');
   }
 
-  /** Says that a server leaves; it serves on. */
-  drain(listed: Listed): void {
-    const mark = listed;
-    mark.leavesAtMs = performance.now();
-    this.list(listed, 'draining');
+  /** Lists a server as draining; it keeps serving. */
+  drain(listed: ListedServer): void {
+    const target = listed;
+    target.drainAtMs = performance.now();
+    this.writeListing(listed, 'draining');
   }
 
-  /** The list forgets a server that has ended. */
-  drop(listed: Listed): void {
-    const mark = listed;
-    mark.leavesAtMs ??= performance.now();
+  /** Removes a server that has ended from the list. */
+  removeListing(listed: ListedServer): void {
+    const target = listed;
+    target.drainAtMs ??= performance.now();
     this.store.remove(`servers/${listed.server.id}`);
   }
 
-  present(): Listed[] {
-    return this.listed.filter(
-      ({ leavesAtMs, server }) => leavesAtMs === undefined && !server.isDown,
+  /** Returns the servers that run and are not draining. */
+  active(): ListedServer[] {
+    return this.servers.filter(
+      ({ drainAtMs: leavesAtMs, server }) => leavesAtMs === undefined && !server.isDown,
     );
   }
 
-  get turnMs(): number {
-    return TURN_MS;
+  get orderLeaseMs(): number {
+    return ORDER_LEASE_MS;
   }
 
   async close(): Promise<void> {
     await Promise.all(this.entries.map((entry) => entry.close()));
     this.store.close();
     for (const proxy of this.storeProxies) proxy.close();
-    for (const { server, proxy } of this.listed) {
+    for (const { server, proxy } of this.servers) {
       proxy.close();
       server.close();
     }
     rmSync(this.directory, { recursive: true, force: true });
   }
 
-  private list({ server, address }: Listed, state: string): void {
+  private writeListing({ server, address }: ListedServer, state: string): void {
     this.store.put(`servers/${server.id}`, { ...server.entry(state), address });
   }
 
@@ -182,11 +189,11 @@
       retryRatio: 0.2,
       retrySlack: 80,
       retryWindowS: 10,
-      orderTurnMs: TURN_MS,
+      orderTurnMs: ORDER_LEASE_MS,
       loadWindowS: 5,
       loadOvershoot: 1.1,
       poisonKeepS: 3600,
-      ...(this.isKeyed ? customers.terms : {}),
+      ...(this.isKeyed ? customers.quotaSettings : {}),
     };
     return new Program(name, callers!, command, this.directory, settings);
   }
--- a/bench/soak/stoptwice.ts
+++ b/bench/soak/stoptwice.ts
@@ -2,8 +2,8 @@
 import { entryCommand } from './entrycommand.js';
 import { Site } from './site.js';
 
-/** Asks a real entry, sends it SIGTERM twice while a server works on the answer, and prints the answer's status. */
-async function until(isTrue: () => boolean): Promise<void> {
+/** Sends a request to a real entry, then SIGTERM twice while a server works on it, and prints the answer's status. */
+async function waitUntil(isTrue: () => boolean): Promise<void> {
   while (!isTrue()) {
     await new Promise((resolve) => {
       setTimeout(resolve, 5);
@@ -26,13 +26,13 @@
 const site = new Site();
 await site.start(1, entryCommand);
 const [entry] = site.entries;
-const said = (text: string) => entry!.lines.some((line) => line.includes(text));
-await until(() => said('state read'));
-for (const { server } of site.listed) server.behaviors.push('slow');
+const hasLogged = (text: string) => entry!.lines.some((line) => line.includes(text));
+await waitUntil(() => hasLogged('state read'));
+for (const { server } of site.servers) server.behaviors.push('slow');
 const asking = ask(entry!.port);
-await until(() => site.listed.some(({ server }) => server.requestLog.length > 0));
+await waitUntil(() => site.servers.some(({ server }) => server.requestLog.length > 0));
 entry!.end('SIGTERM');
-await until(() => said('stopping'));
+await waitUntil(() => hasLogged('stopping'));
 entry!.end('SIGTERM');
 console.log(String(await asking));
 await site.close();
--- a/bench/soak/stopwaiting.ts
+++ b/bench/soak/stopwaiting.ts
@@ -3,11 +3,11 @@
 import { Site } from './site.js';
 
 /**
- * Sends requests to a real entry before and while it stops, for a model whose load never ends, to a silent
- * server and for a stream that stands still, and prints how each ended, as a JSON object of counts.
+ * Sends requests to a real entry before and during its planned stop: for a model whose load never ends, to a server
+ * that does not answer, and for a stream that stalls. Prints how they ended, as a JSON object of counts.
  */
-const ASKED_FOR_MS = 3600;
-const ASK_EVERY_MS = 100;
+const SEND_FOR_MS = 3600;
+const SEND_EVERY_MS = 100;
 const NEVER_MS = 600_000;
 
 const HEADERS = { Host: 'caller.example', 'Tarragonstile-Deadline-Ms': '20000' };
@@ -18,7 +18,7 @@
   });
 }
 
-async function until(isTrue: () => boolean): Promise<void> {
+async function waitUntil(isTrue: () => boolean): Promise<void> {
   while (!isTrue()) await pause(5);
 }
 
@@ -43,9 +43,9 @@
 const site = new Site();
 await site.start(1, entryCommand);
 const [entry] = site.entries;
-const said = (text: string) => entry!.lines.some((line) => line.includes(text));
-await until(() => said('state read') && said('order turn taken'));
-for (const { server } of site.listed) {
+const hasLogged = (text: string) => entry!.lines.some((line) => line.includes(text));
+await waitUntil(() => hasLogged('state read') && hasLogged('order turn taken'));
+for (const { server } of site.servers) {
   server.orderFaults.push(
     ...Array.from({ length: 50 }, () => ({ type: 'late' as const, ms: NEVER_MS })),
   );
@@ -56,17 +56,19 @@
 const endings: Record<string, Promise<string>[]> = { model: [], silent: [], stream: [] };
 endings.silent!.push(ask(port, '/charge/1'));
 endings.stream!.push(ask(port, '/draft/1', 'm1'));
-await until(() => site.listed.filter(({ server }) => server.requestLog.length > 0).length === 2);
+await waitUntil(
+  () => site.servers.filter(({ server }) => server.requestLog.length > 0).length === 2,
+);
 entry!.end('SIGTERM');
-await until(() => said('stopping'));
-for (let atMs = 0; atMs < ASKED_FOR_MS; atMs += ASK_EVERY_MS) {
+await waitUntil(() => hasLogged('stopping'));
+for (let atMs = 0; atMs < SEND_FOR_MS; atMs += SEND_EVERY_MS) {
   endings.model!.push(ask(port, '/draft/1', 'm3'));
-  await pause(ASK_EVERY_MS);
+  await pause(SEND_EVERY_MS);
 }
 const counts: Record<string, Record<string, number>> = {};
-for (const [kind, asked] of Object.entries(endings)) {
+for (const [kind, requests] of Object.entries(endings)) {
   const ends: Record<string, number> = {};
-  for (const end of await Promise.all(asked)) ends[end] = (ends[end] ?? 0) + 1;
+  for (const end of await Promise.all(requests)) ends[end] = (ends[end] ?? 0) + 1;
   counts[kind] = ends;
 }
 console.log(JSON.stringify(counts));
--- a/bench/soak/suspendable.ts
+++ b/bench/soak/suspendable.ts
@@ -1,35 +1,39 @@
 import { FailureError } from '../../src/base/index.js';
 
 /**
- * Runs a program so that a stop by signal is a suspension of its host: its steady clock and its timers stand still
- * meanwhile, while the clock that counts from the boot and the time of day go on. It is run as
- * `node suspendable.js PROGRAM [DEFECT]`.
+ * Runs a program so that SIGSTOP looks like a suspension of its host: the monotonic clock and the timers do not
+ * advance while it is stopped, but the clock that counts from boot and the time of day do.
+ * Usage: `node suspendable.js PROGRAM [DEFECT]`.
  */
 const [, , program = '', defect = 'none'] = process.argv;
 
-/** A gap between two looks that no load explains; a shorter stop is none. */
-const LEAST_GAP_MS = 150;
-const LOOK_MS = 20;
+/** A longer gap between two checks counts as a suspension; load alone does not cause such a gap. */
+const SUSPENSION_GAP_MS = 150;
+const CHECK_EVERY_MS = 20;
 
 const realNow = performance.now.bind(performance);
 const realSetTimeout = globalThis.setTimeout;
 const realClearTimeout = globalThis.clearTimeout;
 let heldMs = 0;
-let lookedAtMs = realNow();
+let checkedAtMs = realNow();
 
-/** How long the host has been suspended so far. */
+/** Returns how long the host has been suspended in total. */
 function held(): number {
   const nowMs = realNow();
-  const gapMs = nowMs - lookedAtMs;
-  if (gapMs > LEAST_GAP_MS) heldMs += gapMs;
-  lookedAtMs = nowMs;
+  const gapMs = nowMs - checkedAtMs;
+  if (gapMs > SUSPENSION_GAP_MS) heldMs += gapMs;
+  checkedAtMs = nowMs;
   return heldMs;
 }
 
-/** Timers that were set again for the time that they were held up, by the one that their owner knows. */
+/** Timers that were set again to make up for a suspension, by the timer that their owner holds. */
 const later = new WeakMap<object, NodeJS.Timeout>();
 
-function setHeldTimeout(act: (...args: unknown[]) => void, delayMs?: number, ...args: unknown[]) {
+function setSuspendedTimeout(
+  act: (...args: unknown[]) => void,
+  delayMs?: number,
+  ...args: unknown[]
+) {
   let from = held();
   const timer = realSetTimeout(function fire() {
     const owedMs = held() - from;
@@ -40,23 +44,27 @@
   return timer;
 }
 
-function clearHeldTimeout(timer: NodeJS.Timeout | undefined): void {
+function clearSuspendedTimeout(timer: NodeJS.Timeout | undefined): void {
   if (typeof timer === 'object') realClearTimeout(later.get(timer));
   realClearTimeout(timer);
 }
 
-setInterval(held, LOOK_MS).unref();
+setInterval(held, CHECK_EVERY_MS).unref();
 performance.now = () => {
-  const byNowMs = held();
-  return realNow() - byNowMs;
+  const pausedMs = held();
+  return realNow() - pausedMs;
 };
-globalThis.setTimeout = setHeldTimeout as never;
-globalThis.clearTimeout = clearHeldTimeout as never;
+globalThis.setTimeout = setSuspendedTimeout as never;
+globalThis.clearTimeout = clearSuspendedTimeout as never;
 
 if (defect === 'steady-clock') {
-  // Without the C library there is no clock that counts suspension: the program goes by the steady one.
+  // The program reads the clock that counts suspensions through the C library; without it, it falls back to the
+  // monotonic clock.
   process.dlopen = () => {
-    throw new FailureError({ type: 'library-refused', detail: 'No library is opened.' });
+    throw new FailureError({
+      type: 'library-refused',
+      detail: 'The C library is not loaded: the steady-clock defect is on.',
+    });
   };
 }
 await import(program);
--- a/bench/soak/suspendedcommand.ts
+++ b/bench/soak/suspendedcommand.ts
@@ -3,7 +3,7 @@
 
 const SUSPENDABLE = join(import.meta.dirname, 'suspendable.js');
 
-/** The entry with stops by signal that count as suspensions of its host; as a defect, it goes by the steady clock. */
+/** Returns the command of an entry for which SIGSTOP is a suspension; `isSteady` plants the `steady-clock` defect. */
 export function suspendedCommand(isSteady: boolean): readonly string[] {
   const [node = '', program = ''] = entryCommand;
   return [node, SUSPENDABLE, program, ...(isSteady ? ['steady-clock'] : [])];
--- a/bench/soak/suspendholder.ts
+++ b/bench/soak/suspendholder.ts
@@ -3,48 +3,49 @@
 import { pause } from './pause.js';
 import { Site } from './site.js';
 import { suspendedCommand } from './suspendedcommand.js';
-import { Witness } from './witness.js';
+import { PromiseChecker } from './promisechecker.js';
 
 /**
- * Suspends the host of whoever gives orders, again and again, until another one has taken over, while callers ask
- * for models that have to be brought; prints the promises that were broken. With the argument `steady` entries go by a clock that stands still meanwhile.
+ * Repeatedly suspends the host of the order lease holder until another entry has taken over, while callers request
+ * models that have to be loaded, and prints the promises that were broken. With the argument `steady`, entries use a
+ * clock that does not advance during a suspension.
  */
 const isSteady = process.argv[2] === 'steady';
-/** A defect need not show each time: the woken entry has to order something before it looks after its right. */
+/** The defect does not show in every round: the resumed entry has to give an order before it checks its lease. */
 const ROUNDS = isSteady ? 8 : 3;
 const CALLERS = 24;
 const SLACK_MS = 8000;
 const ORDER_PROMISES = new Set(['orders have one holder at a time', 'fencing tokens rise']);
-/** Orders of a holder that woke come within one plan of each other. */
-const AFTER_MS = 1000;
-/** An engine loses what it holds this often, so that there is always something to order. */
-const EMPTIED_EVERY_MS = 250;
+/** Time for a resumed holder to give its orders: they come within one planning round. */
+const AFTER_THAW_MS = 1000;
+/** An engine restarts with empty memory this often, so that there is always something to order. */
+const RESTART_EVERY_MS = 250;
 
 const site = new Site();
 await site.start(2, suspendedCommand(isSteady));
 const { entries } = site;
 const callers = new Callers(entries, new Dice(1));
-const orderCount = () => site.listed.reduce((sum, { server }) => sum + server.orderLog.length, 0);
+const orderCount = () => site.servers.reduce((sum, { server }) => sum + server.orderLog.length, 0);
 
-/** The entry that gave the newest order. */
+/** Returns the entry that gave the newest order. */
 function holder(): (typeof entries)[number] {
-  const orders = site.listed.flatMap(({ server }) => server.orderLog);
+  const orders = site.servers.flatMap(({ server }) => server.orderLog);
   orders.sort((a, b) => a.atMs - b.atMs);
   return entries.find(({ name }) => name === orders.at(-1)!.order.holder)!;
 }
 
-async function untilOrdered(): Promise<void> {
+async function waitForOrder(): Promise<void> {
   const before = orderCount();
   while (orderCount() === before) await pause(5);
 }
 
-/** The right has passed to another entry, and that one uses it. */
-async function untilAnotherOrders(than: string): Promise<void> {
+/** Waits until another entry has taken the order lease and given an order. */
+async function waitForOtherHolder(than: string): Promise<void> {
   while (holder().name === than) await pause(5);
 }
 
-function broken(): string[] {
-  const breaches = new Witness(site, callers.calls, SLACK_MS).judge();
+function brokenPromises(): string[] {
+  const breaches = new PromiseChecker(site, callers.calls, SLACK_MS).judge();
   return breaches.map(({ promise }) => promise);
 }
 
@@ -52,25 +53,25 @@
   await pause(5);
 }
 callers.start(CALLERS);
-const engines = site.listed.filter(({ server }) => server.service === 'engine');
-let emptied = 0;
-const emptying = setInterval(() => {
-  emptied += 1;
-  engines[emptied % engines.length]!.server.restart();
-}, EMPTIED_EVERY_MS);
+const engines = site.servers.filter(({ server }) => server.service === 'engine');
+let restarts = 0;
+const restarting = setInterval(() => {
+  restarts += 1;
+  engines[restarts % engines.length]!.server.restart();
+}, RESTART_EVERY_MS);
 for (let round = 0; round < ROUNDS; round += 1) {
-  await untilOrdered();
+  await waitForOrder();
   const suspended = holder();
   suspended.freeze();
-  await untilAnotherOrders(suspended.name);
-  // All engines have lost what they held: whoever believes that it may order has something to order.
+  await waitForOtherHolder(suspended.name);
+  // All engines lose their models, so that an entry that wrongly believes that it holds the lease gives orders.
   for (const { server } of engines) server.restart();
   suspended.thaw();
-  await pause(AFTER_MS);
-  if (broken().some((promise) => ORDER_PROMISES.has(promise))) break;
+  await pause(AFTER_THAW_MS);
+  if (brokenPromises().some((promise) => ORDER_PROMISES.has(promise))) break;
 }
-clearInterval(emptying);
+clearInterval(restarting);
 await callers.stop();
-console.log(JSON.stringify(broken()));
+console.log(JSON.stringify(brokenPromises()));
 await site.close();
 process.exit(0);
--- a/bench/soak/hostfaults.ts
+++ b/bench/soak/suspensionfaults.ts
@@ -1,7 +1,7 @@
 import type { Dice } from './dice.js';
 import type { Site } from './site.js';
 
-/** Long enough for another entry to take the right to give orders meanwhile, and to use it. */
+/** Long enough for another entry to take the order lease and give orders meanwhile. */
 const SUSPENSION = { leastMs: 1000, spreadMs: 5000 };
 
 type Fault = (site: Site, dice: Dice) => string;
@@ -14,5 +14,5 @@
   return `${entry.name} for ${ms} ms`;
 };
 
-/** Faults of hosts that can be suspended, by name. */
-export const hostFaults: Readonly<Record<string, Fault>> = { suspend };
+/** Faults that suspend the host of an entry, by name. */
+export const suspensionFaults: Readonly<Record<string, Fault>> = { suspend };
--- a/demo/children.ts
+++ b/demo/children.ts
@@ -6,7 +6,7 @@
   for (const child of running) child.kill('SIGKILL');
 });
 
-/** Child processes, each ended by its id when this process ends, however it does. */
+/** Child processes, which are killed by their ids when this process exits. */
 export const children = {
   add(child: ChildProcess): void {
     running.add(child);
--- a/demo/documentsof.ts
+++ b/demo/createdocuments.ts
@@ -14,7 +14,11 @@
   ticketValidMs: 60_000,
 };
 
-function common(deployment: Deployment, service: string, keys: Readonly<Record<string, string>>) {
+function commonFields(
+  deployment: Deployment,
+  service: string,
+  keys: Readonly<Record<string, string>>,
+) {
   const customers = Object.entries(keys).map(([id, key]) => ({
     id,
     keyHashes: [createHash('sha256').update(key).digest('hex')],
@@ -38,7 +42,7 @@
   keys: Readonly<Record<string, string>>,
 ) {
   return {
-    ...common(deployment, deployment.engineService, keys),
+    ...commonFields(deployment, deployment.engineService, keys),
     kinds: [
       { name: 'draft', priority: 'urgent', deadlineMs: 3000, weight: 2, repeatable: true },
       { name: 'archive', priority: 'background', deadlineMs: 8000, weight: 1, repeatable: true },
@@ -59,7 +63,7 @@
       name: `${deployment.engineService}-${deployment.availabilityZones[index]}`,
       availabilityZone: deployment.availabilityZones[index],
       type: 'engine',
-      // The two sorts of upstream that the brief names.
+      // The customer's brief has both: upstreams that check fencing tokens and upstreams that do not.
       checksFencing: index === 0,
       accelerators: 1,
       memoryBytes: sizes.memoryBytes,
@@ -77,7 +81,7 @@
   keys: Readonly<Record<string, string>>,
 ) {
   return {
-    ...common(deployment, deployment.plainService, keys),
+    ...commonFields(deployment, deployment.plainService, keys),
     kinds: [
       { name: 'lookup', priority: 'urgent', deadlineMs: 1000, weight: 1, repeatable: true },
       { name: 'confirm', priority: 'urgent', deadlineMs: 4000, weight: 5, repeatable: false },
@@ -103,8 +107,8 @@
   };
 }
 
-/** The documents of a deployment's services that have upstreams; engines come first in `upstreams`. */
-export function documentsOf(
+/** Creates a document for each service of a deployment that has upstreams; engines come first in `upstreams`. */
+export function createDocuments(
   deployment: Deployment,
   upstreams: readonly Upstream[],
   keys: Readonly<Record<string, string>>,
--- a/demo/daemon.ts
+++ b/demo/daemon.ts
@@ -8,11 +8,11 @@
 
 const BIN = join(import.meta.dirname, '..', '..', 'bin', 'tarragonstile.js');
 
-/** A daemon that runs as a process of its own. */
+/** An entry or sidecar that runs in its own process. */
 export class Daemon {
   private constructor(
     readonly child: ChildProcess,
-    /** Port of its listener. */
+    /** Port that it listens on. */
     readonly port: number,
   ) {}
 
@@ -20,7 +20,7 @@
     return this.child.pid ?? 0;
   }
 
-  /** Starts a daemon with these settings and waits until it listens. */
+  /** Starts a daemon with the given settings and waits until it listens. */
   static async start(
     command: 'entry' | 'sidecar',
     directory: string,
@@ -39,14 +39,17 @@
       once(child, 'exit').then(() => undefined),
     ]);
     if (line !== undefined) return new Daemon(child, (JSON.parse(line) as { port: number }).port);
-    throw new FailureError({ type: 'daemon-failed', detail: `${name} ended before it listened.` });
+    throw new FailureError({
+      type: 'daemon-failed',
+      detail: `${name} exited before it was listening.`,
+    });
   }
 
   signal(signal: NodeJS.Signals): void {
     this.child.kill(signal);
   }
 
-  /** Sends a signal and gives the exit code; null when the signal itself ended it. */
+  /** Sends a signal and resolves with the exit code, which is null if the signal killed the process. */
   end(signal: 'SIGTERM' | 'SIGKILL'): Promise<number | null> {
     if (this.child.exitCode !== null) return Promise.resolve(this.child.exitCode);
     return new Promise((resolve) => {
--- a/demo/deployment.ts
+++ b/demo/deployment.ts
@@ -1,4 +1,4 @@
-/** A deployment in miniature: a service of engines, and a plain service. */
+/** A small deployment: a service of engines and a plain service. */
 export interface Deployment {
   readonly name: string;
   readonly region: string;
@@ -7,17 +7,17 @@
   readonly engineCount: number;
   readonly plainService: string;
   readonly plainCount: number;
-  /** How long a call of the plain service takes. */
+  /** Duration of a call of the plain service. */
   readonly serviceMs: number;
-  /** Whether calls of engines and plain services go wrong by themselves. */
+  /** True if the stand-ins inject random faults into calls. */
   readonly hasFaults: boolean;
   readonly models: readonly string[];
   readonly lookupPath: string;
   readonly confirmPath: string;
-  /** Field of a confirmation's body that names what it confirms. */
+  /** Body field of a confirmation that holds its business key. */
   readonly confirmField: string;
   readonly movePenalty: number;
   readonly parallelLoads: number;
-  /** Whose sidecar is killed on the way. */
-  readonly killed: 'engine' | 'plain';
+  /** Type of the upstream whose sidecar is killed during the load. */
+  readonly sidecarToKill: 'engine' | 'plain';
 }
--- a/demo/deployments.ts
+++ b/demo/deployments.ts
@@ -1,6 +1,6 @@
 import type { Deployment } from './deployment.js';
 
-/** Both deployments of the brief. */
+/** The two deployments that the customer's brief describes. */
 export const deployments: readonly [Deployment, Deployment] = [
   {
     name: 'reenvio-norte',
@@ -18,7 +18,7 @@
     confirmField: 'chargeId',
     movePenalty: 0,
     parallelLoads: 4,
-    killed: 'engine',
+    sidecarToKill: 'engine',
   },
   {
     name: 'agentia',
@@ -36,6 +36,6 @@
     confirmField: 'transferId',
     movePenalty: 5,
     parallelLoads: 12,
-    killed: 'plain',
+    sidecarToKill: 'plain',
   },
 ];
--- a/demo/freeports.ts
+++ b/demo/freeports.ts
@@ -1,7 +1,7 @@
 import { once } from 'node:events';
 import { createServer } from 'node:net';
 
-/** Ports of a loopback address that were free a moment ago. */
+/** Finds free ports on a loopback address; another process may take one before it is used. */
 export async function freePorts(host: string, count: number): Promise<readonly number[]> {
   const servers = Array.from({ length: count }, () => createServer().listen(0, host));
   await Promise.all(servers.map((server) => once(server, 'listening')));
--- a/demo/load/addtallies.ts
+++ b/demo/load/addtallies.ts
@@ -6,7 +6,7 @@
   return sums;
 }
 
-/** Two loads' counts together. */
+/** Adds the counts of two loads. */
 export function addTallies(left: Tally, right: Tally): Tally {
   const entries = Object.entries(left).map(([name, value]) => {
     if (name === 'reasons') return [name, addReasons(left.reasons, right.reasons)];
--- a/demo/load/askplain.ts
+++ b/demo/load/callplainservice.ts
@@ -1,20 +1,21 @@
 import { request } from 'undici';
 import type { Outcome } from './outcome.js';
-import { problemOf } from './problemof.js';
+import { outcomeOfProblem } from './outcomeofproblem.js';
 
-/** A call of a plain service, and a part of the answer by which it is known to be its own. */
+/** A call of a plain service. */
 interface PlainCall {
   readonly url: string;
   readonly key: string;
   readonly method: 'GET' | 'POST';
   readonly body?: string;
   readonly headers?: Readonly<Record<string, string>>;
+  /** Text by which the answer is recognised as that to this call. */
   readonly expected: string;
   readonly timeoutMs: number;
 }
 
-/** Calls a plain service once. */
-export async function askPlain(call: PlainCall): Promise<Outcome> {
+/** Calls a plain service once and returns the outcome. */
+export async function callPlainService(call: PlainCall): Promise<Outcome> {
   const startMs = performance.now();
   const since = () => performance.now() - startMs;
   try {
@@ -25,7 +26,7 @@
       signal: AbortSignal.timeout(call.timeoutMs),
     });
     const text = await answer.body.text();
-    if (answer.statusCode !== 200) return problemOf(text, since());
+    if (answer.statusCode !== 200) return outcomeOfProblem(text, since());
     return { type: text.includes(call.expected) ? 'answered' : 'cut', tookMs: since() };
   } catch {
     return { type: 'lost', tookMs: since() };
--- a/demo/load/outcome.ts
+++ b/demo/load/outcome.ts
@@ -1,19 +1,19 @@
-/** What a caller was told in the end. */
+/** How a request ended for its caller. */
 export interface Outcome {
   readonly type:
-    /** The whole, right answer. */
+    /** The complete, correct answer. */
     | 'answered'
-    /** A refusal that promises that nothing was run. */
+    /** A refusal that promises that the request has not run. */
     | 'refused'
-    /** An explicit end that says that nobody can tell. */
+    /** An explicit end without an answer; the request may have run. */
     | 'unknown'
-    /** An answer that broke off without a word, or was not the right one. */
+    /** An answer that broke off without an error, or was wrong. */
     | 'cut'
     /** No answer at all. */
     | 'lost';
-  /** Arrival to the first token, or to the whole answer of a plain service. */
+  /** Time to the first token of a stream, or to the complete answer of a plain service. */
   readonly tookMs: number;
-  /** The system's id of the request, if it was told. */
+  /** The system's id of the request, if the answer had one. */
   readonly requestId?: string;
   /** Type of the refusal. */
   readonly reason?: string;
--- a/demo/load/problemof.ts
+++ b/demo/load/outcomeofproblem.ts
@@ -6,13 +6,13 @@
   readonly requestId?: string;
 }
 
-/** What an RFC 9457 body tells; anything else is an answer that is not whole. */
-export function problemOf(text: string, tookMs: number): Outcome {
+/** Returns the outcome that a problem document (RFC 9457) describes; any other body counts as a cut answer. */
+export function outcomeOfProblem(text: string, tookMs: number): Outcome {
   try {
     const { type, executed, requestId } = JSON.parse(text) as Problem;
     const reason = type?.replace('urn:tarragonstile:', '');
     if (executed === 'no') return { type: 'refused', tookMs, requestId, reason };
-    // It ran, but its answer is no longer kept: an explicit end without the answer as well.
+    // `yes`: it ran, but its answer is no longer stored. This too is an explicit end without an answer.
     const hasEnd = executed === 'unknown' || executed === 'yes';
     if (hasEnd) return { type: 'unknown', tookMs, requestId, reason };
   } catch {
--- a/demo/load/askstream.ts
+++ b/demo/load/requeststream.ts
@@ -1,7 +1,7 @@
 import { request } from 'undici';
 import { expectedAnswer } from '../../standin/index.js';
 import type { Outcome } from './outcome.js';
-import { problemOf } from './problemof.js';
+import { outcomeOfProblem } from './outcomeofproblem.js';
 
 const DONE = 'data: [DONE]';
 const ERROR = 'event: error';
@@ -27,18 +27,18 @@
   return deltas.join('');
 }
 
-function judge(body: string, stream: Stream, firstMs: number, requestId: string): Outcome {
+function outcomeOf(body: string, stream: Stream, firstMs: number, requestId: string): Outcome {
   const [answer = '', problem] = body.split(ERROR);
   if (problem !== undefined) {
-    return problemOf(problem.split('data: ')[1] ?? '', firstMs);
+    return outcomeOfProblem(problem.split('data: ')[1] ?? '', firstMs);
   }
-  const whole = answer.includes(DONE);
-  const right = contentOf(answer) === expectedAnswer(stream.prompt, stream.tokens);
-  return { type: whole && right ? 'answered' : 'cut', tookMs: firstMs, requestId };
+  const isComplete = answer.includes(DONE);
+  const isCorrect = contentOf(answer) === expectedAnswer(stream.prompt, stream.tokens);
+  return { type: isComplete && isCorrect ? 'answered' : 'cut', tookMs: firstMs, requestId };
 }
 
-/** Asks for a streamed answer and compares it, byte for byte, with what any engine would give. */
-export async function askStream(stream: Stream): Promise<Outcome> {
+/** Requests a streamed answer and compares its content with the answer that every engine gives to the prompt. */
+export async function requestStream(stream: Stream): Promise<Outcome> {
   const startMs = performance.now();
   const since = () => performance.now() - startMs;
   let body = '';
@@ -55,7 +55,7 @@
       }),
       signal: AbortSignal.timeout(stream.timeoutMs),
     });
-    if (answer.statusCode !== 200) return problemOf(await answer.body.text(), since());
+    if (answer.statusCode !== 200) return outcomeOfProblem(await answer.body.text(), since());
     requestId = String(answer.headers['x-request-id'] ?? '');
     for await (const chunk of answer.body) {
       if (body === '') firstMs = since();
@@ -64,5 +64,5 @@
   } catch {
     return { type: body === '' ? 'lost' : 'cut', tookMs: since(), requestId };
   }
-  return judge(body, stream, firstMs, requestId);
+  return outcomeOf(body, stream, firstMs, requestId);
 }
--- a/demo/load/runload.ts
+++ b/demo/load/runload.ts
@@ -1,21 +1,21 @@
 import { setTimeout as wait } from 'node:timers/promises';
 import type { Stack } from '../stack.js';
-import { askConfirm } from './askconfirm.js';
-import { askPlain } from './askplain.js';
-import { askStream } from './askstream.js';
+import { sendConfirmation } from './sendconfirmation.js';
+import { callPlainService } from './callplainservice.js';
+import { requestStream } from './requeststream.js';
 import type { Outcome } from './outcome.js';
-import type { Asked } from './asked.js';
+import type { RequestRecord } from './requestrecord.js';
 import { schedule } from './schedule.js';
 
 const TOKENS = 20;
-/** Longer than any deadline and its late answer: a caller that waits longer has lost its answer. */
+/** Longer than any deadline plus its late answer; a request without an answer by then counts as lost. */
 const TIMEOUT_MS = 15_000;
 const ARCHIVE_DRAWS = 150;
 const LARGEST_DRAWS = 700;
 const GUARDS = ['none', 'idempotency-key', 'ticket'] as const;
 
 type Planned = ReturnType<typeof schedule>[number];
-type Send = (stack: Stack, planned: Planned) => Promise<Omit<Asked, 'id' | 'tookMs'>>;
+type Send = (stack: Stack, planned: Planned) => Promise<Omit<RequestRecord, 'id' | 'tookMs'>>;
 
 function pick<Item>(items: readonly Item[], draw: number): Item {
   return items[draw % items.length]!;
@@ -25,7 +25,7 @@
   return draw < LARGEST_DRAWS ? keys.largest : keys.other;
 }
 
-function isFalseAtEngines({ standIns }: Stack, { type, requestId }: Outcome): boolean {
+function hasRunAtEngines({ standIns }: Stack, { type, requestId }: Outcome): boolean {
   if (type !== 'refused' || !requestId) return false;
   return standIns.engines.some((engine) => engine.runs(requestId) > 0);
 }
@@ -33,7 +33,7 @@
 const SEND: Readonly<Record<Planned['type'], Send>> = {
   stream: async (stack, { id, draws }) => {
     const kind = draws[0] < ARCHIVE_DRAWS ? 'archive' : 'draft';
-    const outcome = await askStream({
+    const outcome = await requestStream({
       entry: pick(stack.entries, draws[1]),
       key: keyOf(stack, draws[2]),
       model: pick(stack.deployment.models, draws[0]),
@@ -42,12 +42,12 @@
       tokens: TOKENS,
       timeoutMs: TIMEOUT_MS,
     });
-    return { kind, outcomes: [outcome], falseNotRun: isFalseAtEngines(stack, outcome) };
+    return { kind, outcomes: [outcome], falseNotRun: hasRunAtEngines(stack, outcome) };
   },
   lookup: async (stack, { id, draws }) => {
     const { plainService, lookupPath } = stack.deployment;
     const path = `${lookupPath}/${id}`;
-    const outcome = await askPlain({
+    const outcome = await callPlainService({
       url: `${pick(stack.entries, draws[1])}/services/${plainService}${path}`,
       key: keyOf(stack, draws[2]),
       method: 'GET',
@@ -59,7 +59,7 @@
   confirm: async (stack, { id, draws }) => {
     const { plainService, confirmPath, confirmField } = stack.deployment;
     let falseNotRun = false;
-    const outcomes = await askConfirm({
+    const outcomes = await sendConfirmation({
       entries: draws[1] % 2 ? stack.entries : stack.entries.toReversed(),
       path: confirmPath,
       service: plainService,
@@ -76,7 +76,7 @@
   },
 };
 
-async function send(stack: Stack, planned: Planned, startMs: number): Promise<Asked> {
+async function send(stack: Stack, planned: Planned, startMs: number): Promise<RequestRecord> {
   await wait(Math.max(0, startMs + planned.atMs - performance.now()));
   const sentMs = performance.now();
   const { kind, outcomes, falseNotRun } = await SEND[planned.type](stack, planned);
@@ -90,8 +90,11 @@
   };
 }
 
-/** Sends a whole load and waits for every last word. */
-export function runLoad(stack: Stack, planned: readonly Planned[]): Promise<readonly Asked[]> {
+/** Sends a load and waits until every request has ended. */
+export function runLoad(
+  stack: Stack,
+  planned: readonly Planned[],
+): Promise<readonly RequestRecord[]> {
   const startMs = performance.now();
-  return Promise.all(planned.map((one) => send(stack, one, startMs)));
+  return Promise.all(planned.map((item) => send(stack, item, startMs)));
 }
--- a/demo/load/schedule.ts
+++ b/demo/load/schedule.ts
@@ -1,20 +1,20 @@
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
-/** One request of the load, before it is sent. */
+/** A request of the load that is to be sent. */
 interface Planned {
   readonly atMs: number;
   readonly type: 'stream' | 'lookup' | 'confirm';
   /** Unique in the load. */
   readonly id: string;
-  /** Drawn numbers from 0 to 999, for whatever the request chooses by them. */
+  /** Random numbers from 0 to 999, by which the request chooses its parameters. */
   readonly draws: readonly [number, number, number];
 }
 
 const DRAW_LIMIT = 999;
 const TYPES = ['stream', 'stream', 'lookup', 'lookup', 'confirm'] as const;
 
-/** A load drawn from a seed: so many requests over so long, more of them in its middle third. */
+/** Draws a load of `count` requests from a seed, with a burst in the middle third of its duration. */
 export function schedule(
   seed: number,
   name: string,
--- a/demo/load/tally.ts
+++ b/demo/load/tally.ts
@@ -1,45 +1,47 @@
 import type { StandIns } from '../standins.js';
 import type { Outcome } from './outcome.js';
-import type { Asked } from './asked.js';
+import type { RequestRecord } from './requestrecord.js';
 
-/** What became of a load; the stand-ins, which see what truly ran, are asked. */
+/** Counts of a load. The runs are those that the stand-ins observed. */
 export interface Tally {
   readonly asked: number;
   readonly answered: number;
   readonly refused: number;
   readonly unknown: number;
+  /** Requests without an answer, and confirmations that were answered but never ran. */
   readonly lost: number;
+  /** Business keys that ran more than once. */
   readonly doubled: number;
   readonly cut: number;
   readonly falseNotRun: number;
   readonly overcommits: number;
-  /** Models loaded or unloaded. */
+  /** Number of model loads and unloads. */
   readonly moves: number;
-  /** Weights of right answers in time. */
+  /** Sum of the weights of correct answers within their deadlines. */
   readonly attained: number;
   readonly accelerators: number;
-  /** Refusals and ends without an answer, by type. */
+  /** Outcomes other than an answer, by request kind, outcome type and reason. */
   readonly reasons: Readonly<Record<string, number>>;
 }
 
 /** Weight and deadline of each kind, as in the demo's documents. */
-const KINDS: Readonly<Record<Asked['kind'], { weight: number; deadlineMs: number }>> = {
+const KINDS: Readonly<Record<RequestRecord['kind'], { weight: number; deadlineMs: number }>> = {
   draft: { weight: 2, deadlineMs: 3000 },
   archive: { weight: 1, deadlineMs: 8000 },
   lookup: { weight: 1, deadlineMs: 1000 },
   confirm: { weight: 5, deadlineMs: 4000 },
 };
 
-function lastOf({ outcomes }: Asked): Outcome['type'] {
+function lastOutcome({ outcomes }: RequestRecord): Outcome['type'] {
   return outcomes.at(-1)?.type ?? 'lost';
 }
 
-function attainedBy(record: Asked): number {
+function attainedWeight(record: RequestRecord): number {
   const { weight, deadlineMs } = KINDS[record.kind];
-  return lastOf(record) === 'answered' && record.tookMs <= deadlineMs ? weight : 0;
+  return lastOutcome(record) === 'answered' && record.tookMs <= deadlineMs ? weight : 0;
 }
 
-function reasonsOf(records: readonly Asked[]): Tally['reasons'] {
+function reasonsOf(records: readonly RequestRecord[]): Tally['reasons'] {
   const reasons: Record<string, number> = {};
   for (const { kind, outcomes } of records) {
     for (const { type, reason = '' } of outcomes) {
@@ -51,23 +53,25 @@
   return reasons;
 }
 
-/** Counts what became of a load. */
+/** Counts the outcomes of a load. */
 export function tally(
-  records: readonly Asked[],
+  records: readonly RequestRecord[],
   standIns: Pick<StandIns, 'engines' | 'services' | 'runs'>,
 ): Tally {
   const { engines, services } = standIns;
   const keys = new Set(services.flatMap((service) => [...service.allRuns().keys()]));
-  const count = (is: (record: Asked) => boolean) => records.filter(is).length;
-  const ended = (type: Outcome['type']) => count((record) => lastOf(record) === type);
+  const count = (is: (record: RequestRecord) => boolean) => records.filter(is).length;
+  const ended = (type: Outcome['type']) => count((record) => lastOutcome(record) === type);
   const sum = (of: (engine: StandIns['engines'][number]) => number) =>
     engines.reduce((total, engine) => total + of(engine), 0);
   const neverRan = count(
     (record) =>
-      record.kind === 'confirm' && lastOf(record) === 'answered' && standIns.runs(record.id) === 0,
+      record.kind === 'confirm' &&
+      lastOutcome(record) === 'answered' &&
+      standIns.runs(record.id) === 0,
   );
-  const falseAtEnd = (record: Asked) =>
-    record.kind === 'confirm' && lastOf(record) === 'refused' && standIns.runs(record.id) > 0;
+  const falseAtEnd = (record: RequestRecord) =>
+    record.kind === 'confirm' && lastOutcome(record) === 'refused' && standIns.runs(record.id) > 0;
   return {
     asked: records.length,
     answered: ended('answered'),
@@ -79,7 +83,7 @@
     falseNotRun: count((record) => record.falseNotRun || falseAtEnd(record)),
     overcommits: sum(({ overcommits }) => overcommits),
     moves: sum(({ counts }) => counts.loads + counts.unloads),
-    attained: records.reduce((total, record) => total + attainedBy(record), 0),
+    attained: records.reduce((total, record) => total + attainedWeight(record), 0),
     accelerators: engines.length,
     reasons: reasonsOf(records),
   };
--- a/demo/loopbackhost.ts
+++ b/demo/loopbackhost.ts
@@ -4,8 +4,8 @@
 const HIGHEST = 254;
 
 /**
- * An address of the loopback range that is hardly anybody else's. Ports found free there stay free:
- * outgoing connections of this machine take theirs on 127.0.0.1.
+ * Returns a random loopback address that probably no other process uses. Free ports there stay free, because outgoing
+ * connections take their local ports on 127.0.0.1.
  */
 export function loopbackHost(): string {
   const parts = Array.from({ length: 3 }, () => randomInt(LOWEST, HIGHEST));
--- a/demo/operator.ts
+++ b/demo/runoperatorcommand.ts
@@ -6,14 +6,14 @@
 
 const BIN = join(import.meta.dirname, '..', '..', 'bin', 'tarragonstile.js');
 
-/** Runs one command of the operators' command line, as they would. */
-export async function operator(...args: readonly string[]): Promise<void> {
+/** Runs a command of the operators' command-line interface. */
+export async function runOperatorCommand(...args: readonly string[]): Promise<void> {
   const child = spawn(process.execPath, [BIN, ...args], { stdio: ['ignore', 'ignore', 'inherit'] });
   children.add(child);
   const [code] = (await once(child, 'exit')) as [number];
   if (code === 0) return;
   throw new FailureError({
     type: 'command-failed',
-    detail: `${args.join(' ')} ended with ${code}`,
+    detail: `${args.join(' ')} exited with ${code}`,
   });
 }
--- a/demo/scenario.ts
+++ b/demo/runscenario.ts
@@ -12,27 +12,27 @@
 const DOWN_MS = 700;
 const DRAIN_AT_MS = 8000;
 
-/** A load's counts, and how the planned stops ended. */
-interface Played extends Tally {
+/** Counts of a load, and the exit codes of the planned stops. */
+interface ScenarioResult extends Tally {
   readonly exitCodes: readonly (number | null)[];
 }
 
-/** Kills one sidecar on the way, and later takes an engine out as planned. */
-async function disturb(stack: Stack): Promise<number | null> {
+/** Kills one sidecar during the load, later drains an engine, and returns the exit code of the engine's sidecar. */
+async function injectFailures(stack: Stack): Promise<number | null> {
   const [first = '', second = ''] = stack.upstreams;
   const plain = stack.upstreams.at(-1) ?? '';
   await wait(KILL_AT_MS);
-  await stack.crashSidecar(stack.deployment.killed === 'engine' ? first : plain, DOWN_MS);
+  await stack.crashSidecar(stack.deployment.sidecarToKill === 'engine' ? first : plain, DOWN_MS);
   await wait(DRAIN_AT_MS - KILL_AT_MS - DOWN_MS);
   return stack.drain(second);
 }
 
-/** Plays one deployment under its load, from the start of its processes to their planned stop. */
-export async function playScenario(deployment: Deployment): Promise<Played> {
+/** Runs a deployment under its load, from the start of its processes to their planned stop. */
+export async function runScenario(deployment: Deployment): Promise<ScenarioResult> {
   const stack = new Stack(deployment);
   await stack.start();
   const planned = schedule(SEED, deployment.name, LOAD_MS, REQUESTS);
-  const [records, drained] = await Promise.all([runLoad(stack, planned), disturb(stack)]);
+  const [records, drained] = await Promise.all([runLoad(stack, planned), injectFailures(stack)]);
   const stopped = await stack.stop();
   return { ...tally(records, stack.standIns), exitCodes: [drained, ...stopped] };
 }
--- a/demo/keep.ts
+++ b/demo/serveuntilsignal.ts
@@ -2,8 +2,8 @@
 import { deployments } from './deployments.js';
 import { Stack } from './stack.js';
 
-/** Keeps the first deployment running until SIGINT or SIGTERM, for trials by hand. */
-export async function keep(): Promise<void> {
+/** Runs the first deployment until SIGINT or SIGTERM, for experiments by hand. */
+export async function serveUntilSignal(): Promise<void> {
   const stack = new Stack(deployments[0]);
   await stack.start();
   const { entries, store, keys, pids, upstreams, deployment } = stack;
--- a/demo/stack.ts
+++ b/demo/stack.ts
@@ -6,10 +6,10 @@
 import { FailureError } from '../src/base/index.js';
 import { Daemon } from './daemon.js';
 import type { Deployment } from './deployment.js';
-import { documentsOf } from './documentsof.js';
+import { createDocuments } from './createdocuments.js';
 import { freePorts } from './freeports.js';
 import { loopbackHost } from './loopbackhost.js';
-import { operator } from './operator.js';
+import { runOperatorCommand } from './runoperatorcommand.js';
 import { StandIns } from './standins.js';
 
 const ENTRIES = 2;
@@ -18,8 +18,8 @@
 const HOST_LIST_POLL_MS = 500;
 const DRAIN_MS = 4000;
 
-/** One sidecar of the stack: where it is, and what it stands beside. */
-interface Beside {
+/** A sidecar of the stack and its upstream. */
+interface SidecarSpec {
   readonly upstream: string;
   readonly service: string;
   readonly availabilityZone: string;
@@ -28,7 +28,7 @@
   readonly port: number;
 }
 
-/** A whole deployment on loopback: stand-ins here, entries and sidecars as processes of their own. */
+/** A whole deployment on loopback: stand-ins in this process, entries and sidecars in their own processes. */
 export class Stack {
   readonly keys = { largest: 'demo-key-largest', other: 'demo-key-other' };
 
@@ -45,7 +45,7 @@
 
   private readonly sidecars = new Map<string, Daemon>();
 
-  private besides: readonly Beside[] = [];
+  private sidecarSpecs: readonly SidecarSpec[] = [];
 
   private readonly leaving = new Set<string>();
 
@@ -59,56 +59,59 @@
     this.standIns = new StandIns(deployment);
   }
 
-  /** Names of the upstreams, engines first. */
+  /** Ids of the upstreams, engines first. */
   get upstreams(): readonly string[] {
-    return this.besides.map(({ upstream }) => upstream);
+    return this.sidecarSpecs.map(({ upstream }) => upstream);
   }
 
+  /** Process ids by name of the entry or upstream. */
   get pids(): Readonly<Record<string, number>> {
     const named = this.entryDaemons.map(({ pid }, index) => [`entry-${index + 1}`, pid] as const);
-    const beside = [...this.sidecars].map(([name, { pid }]) => [name, pid] as const);
-    return Object.fromEntries([...named, ...beside]);
+    const sidecars = [...this.sidecars].map(([name, { pid }]) => [name, pid] as const);
+    return Object.fromEntries([...named, ...sidecars]);
   }
 
-  /** Starts everything; resolves when the documents are in force and the entries are ready. */
+  /** Starts all processes; resolves when the documents are in force and the entries are ready. */
   async start(): Promise<void> {
     const urls = await this.standIns.listen();
     this.store = urls.store;
     this.hostsUrl = urls.hosts;
     const ports = await freePorts(this.host, urls.upstreams.length + ENTRIES);
     this.meshPorts = ports.slice(-ENTRIES);
-    this.besides = urls.upstreams.map((url, index) => this.beside(url, index, ports[index] ?? 0));
-    this.listHosts();
+    this.sidecarSpecs = urls.upstreams.map((url, index) =>
+      this.createSpec(url, index, ports[index] ?? 0),
+    );
+    this.updateHostList();
     const applied = this.applyDocuments();
-    const besides = this.besides.map((beside) => this.startBeside(beside));
+    const sidecars = this.sidecarSpecs.map((spec) => this.startSidecar(spec));
     const started = this.meshPorts.map((port, index) => this.startEntry(port, index));
     this.entryDaemons = await Promise.all(started);
-    await Promise.all([applied, ...besides]);
+    await Promise.all([applied, ...sidecars]);
     this.entries = this.entryDaemons.map(({ port }) => `http://127.0.0.1:${port}`);
-    await Promise.all(this.entries.map((url) => this.untilAnswers(url)));
+    await Promise.all(this.entries.map((url) => this.waitUntilReady(url)));
   }
 
   sidecar(upstream: string): Daemon {
     return this.sidecars.get(upstream)!;
   }
 
-  /** Kills a sidecar as a crash would, and starts it again, as the platform would. */
+  /** Kills a sidecar with SIGKILL, as in a crash, and restarts it after `downMs`, as the platform would. */
   async crashSidecar(upstream: string, downMs: number): Promise<void> {
     await this.sidecar(upstream).end('SIGKILL');
     await wait(downMs);
-    await this.startBeside(this.besides.find((beside) => beside.upstream === upstream)!);
+    await this.startSidecar(this.sidecarSpecs.find((spec) => spec.upstream === upstream)!);
   }
 
-  /** Takes an upstream out as planned; gives its sidecar's exit code. */
+  /** Drains an upstream: lists its host as leaving, stops its sidecar, and resolves with the sidecar's exit code. */
   drain(upstream: string): Promise<number | null> {
     this.leaving.add(upstream);
-    this.listHosts();
+    this.updateHostList();
     const sidecar = this.sidecar(upstream);
     this.sidecars.delete(upstream);
     return sidecar.end('SIGTERM');
   }
 
-  /** Stops all daemons as planned, and gives their exit codes. */
+  /** Stops all daemons with SIGTERM and resolves with their exit codes. */
   async stop(): Promise<readonly (number | null)[]> {
     const entryCodes = await Promise.all(this.entryDaemons.map((entry) => entry.end('SIGTERM')));
     const stopping = [...this.sidecars.values()].map((sidecar) => sidecar.end('SIGTERM'));
@@ -117,7 +120,7 @@
     return codes;
   }
 
-  private beside(upstreamUrl: string, index: number, port: number): Beside {
+  private createSpec(upstreamUrl: string, index: number, port: number): SidecarSpec {
     const { engineService, plainService, availabilityZones } = this.deployment;
     const engineCount = this.standIns.engines.length;
     const isPlain = index >= engineCount;
@@ -133,7 +136,7 @@
     };
   }
 
-  private listHosts(): void {
+  private updateHostList(): void {
     const { region } = this.deployment;
     const entries = this.meshPorts.map((port, index) => ({
       id: `entry-${index + 1}`,
@@ -143,7 +146,7 @@
       region,
       state: 'live' as const,
     }));
-    const sidecars = this.besides.map(({ upstream, availabilityZone, port }) => ({
+    const sidecars = this.sidecarSpecs.map(({ upstream, availabilityZone, port }) => ({
       id: upstream,
       role: 'sidecar' as const,
       address: `${this.host}:${port}`,
@@ -155,16 +158,25 @@
   }
 
   private async applyDocuments(): Promise<void> {
-    const upstreams = this.besides.map(({ upstream, port }) => ({
+    const upstreams = this.sidecarSpecs.map(({ upstream, port }) => ({
       id: upstream,
       sidecarAddress: `${this.host}:${port}`,
     }));
-    const documents = documentsOf(this.deployment, upstreams, this.keys);
+    const documents = createDocuments(this.deployment, upstreams, this.keys);
     const { name } = this.deployment;
     const applied = documents.map((document, index) => {
       const file = join(this.directory, `document-${index}.jsonc`);
       writeFileSync(file, JSON.stringify(document, null, 2));
-      return operator('apply', file, '--expect', '0', '--team', name, '--store', this.store);
+      return runOperatorCommand(
+        'apply',
+        file,
+        '--expect',
+        '0',
+        '--team',
+        name,
+        '--store',
+        this.store,
+      );
     });
     await Promise.all(applied);
   }
@@ -181,9 +193,9 @@
     };
   }
 
-  private async startBeside({ port, ...beside }: Beside): Promise<void> {
-    const { availabilityZone, upstream } = beside;
-    const settings = { ...this.place(upstream, availabilityZone), ...beside };
+  private async startSidecar({ port, ...spec }: SidecarSpec): Promise<void> {
+    const { availabilityZone, upstream } = spec;
+    const settings = { ...this.place(upstream, availabilityZone), ...spec };
     const listen = `${this.host}:${port}`;
     const daemon = await Daemon.start('sidecar', this.directory, upstream, { ...settings, listen });
     this.sidecars.set(upstream, daemon);
@@ -199,16 +211,16 @@
     });
   }
 
-  /** Waits until an entry is ready, and has answered for each service. */
-  private async untilAnswers(url: string): Promise<void> {
+  /** Waits until an entry is ready and has answered a request for each service. */
+  private async waitUntilReady(url: string): Promise<void> {
     const { engineCount, plainCount, plainService, lookupPath, models } = this.deployment;
-    await this.untilOk(`${url}/readyz`);
-    if (plainCount > 0) await this.untilOk(`${url}/services/${plainService}${lookupPath}/1`);
+    await this.waitForOk(`${url}/readyz`);
+    if (plainCount > 0) await this.waitForOk(`${url}/services/${plainService}${lookupPath}/1`);
     const body = JSON.stringify({ model: models[0], prompt: 'Hello', max_tokens: 1 });
-    if (engineCount > 0) await this.untilOk(`${url}/v1/completions`, body);
+    if (engineCount > 0) await this.waitForOk(`${url}/v1/completions`, body);
   }
 
-  private async untilOk(url: string, body?: string): Promise<void> {
+  private async waitForOk(url: string, body?: string): Promise<void> {
     const headers = { authorization: `Bearer ${this.keys.other}` };
     const untilMs = performance.now() + START_WITHIN_MS;
     while (performance.now() < untilMs) {
@@ -217,6 +229,9 @@
       if (answer.statusCode === 200) return;
       await wait(POLL_MS);
     }
-    throw new FailureError({ type: 'start-failed', detail: `${url} has no answer.` });
+    throw new FailureError({
+      type: 'start-failed',
+      detail: `${url} did not answer with status 200 within 30 s.`,
+    });
   }
 }
--- a/demo/standins.ts
+++ b/demo/standins.ts
@@ -15,13 +15,13 @@
 const REPORT_LAG_MS = 100;
 const SEED = 7;
 
-/** Shares of calls that go wrong, besides what the scenario does. */
+/** Shares of calls with each fault, in addition to the failures of the scenario. */
 const ENGINE_FAULTS = { delay: 0.02, loss: 0.01, crossing: 0.01, cut: 0.03 };
 const ORDER_FAULTS = { delay: 0.1, loss: 0.1, cut: 0.1 };
 const SERVICE_FAULTS = { delay: 0.02, loss: 0.005, crossing: 0.005, cut: 0.01 };
 const TOKENS = 20;
 
-/** What lies outside the system: engines, plain services, the platform. */
+/** Stand-ins for everything outside the system: engines, plain services, weight store, host list and store. */
 export class StandIns {
   readonly engines: readonly FakeEngine[];
 
@@ -64,18 +64,18 @@
     );
   }
 
-  /** How often what this business key names was done, at all plain services together. */
+  /** Returns how often the operation with this business key ran, over all plain services. */
   runs(key: string): number {
     return this.services.reduce((sum, service) => sum + service.runs(key), 0);
   }
 
-  /** Starts all and gives their URLs; engines come first in `upstreams`. */
+  /** Starts all stand-ins and returns their URLs; engines come first in `upstreams`. */
   async listen(): Promise<{ store: string; hosts: string; upstreams: readonly string[] }> {
-    const all = [...this.engines, ...this.services].map((upstream) => upstream.listen());
+    const listening = [...this.engines, ...this.services].map((upstream) => upstream.listen());
     return {
       store: await this.store.listen(),
       hosts: await this.hosts.listen(),
-      upstreams: await Promise.all(all),
+      upstreams: await Promise.all(listening),
     };
   }
 
--- a/test/admission.test.ts
+++ b/test/admission.test.ts
@@ -9,7 +9,7 @@
 import type { KindName } from '../src/base/index.js';
 import type { Customer, Kind } from '../src/core/document/index.js';
 import { defaultCurve, stepMs } from '../standin/index.js';
-import { session, type Happening } from './support/session.js';
+import { session, type TimedEvent } from './support/session.js';
 
 const KINDS: readonly Kind[] = [
   {
@@ -56,7 +56,7 @@
   return { type: 'released', requestId, outcome: 'answered', tokenCount };
 }
 
-const at = (atMs: number, event: AdmissionEvent): Happening<AdmissionEvent> => ({ atMs, event });
+const at = (atMs: number, event: AdmissionEvent): TimedEvent<AdmissionEvent> => ({ atMs, event });
 
 test('under overload, requests that cannot meet their deadline are refused at once with a retry-after time', (t) => {
   const happenings = [
@@ -116,9 +116,9 @@
  * Fills the queue, then reports the time between tokens of a simulated engine: the stand-in's curve for the number of
  * running requests, three times slower from the eleventh second on.
  */
-function slowEngineEvents(policy: AdmissionPolicy): Happening<AdmissionEvent>[] {
+function slowEngineEvents(policy: AdmissionPolicy): TimedEvent<AdmissionEvent>[] {
   const state = startAdmission(policy);
-  const happenings: Happening<AdmissionEvent>[] = [];
+  const happenings: TimedEvent<AdmissionEvent>[] = [];
   const send = (atMs: number, event: AdmissionEvent) => {
     happenings.push(at(atMs, event));
     admission(state, event, atMs);
--- a/test/member.test.ts
+++ b/test/member.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import type { Incarnation, UpstreamId } from '../src/base/index.js';
 import { stepMember, type MemberEvent, type MemberState } from '../src/core/member/index.js';
-import { session, type Happening } from './support/session.js';
+import { session, type TimedEvent } from './support/session.js';
 
 const A = 'redactor-1' as UpstreamId;
 const EMPTY: MemberState = { members: new Map() };
@@ -14,20 +14,20 @@
   return { type: 'listed', hosts: state ? [{ upstream: A, state }] : [] };
 }
 
-function run(happenings: readonly Happening<MemberEvent>[]): MemberState {
+function run(happenings: readonly TimedEvent<MemberEvent>[]): MemberState {
   let state = EMPTY;
   for (const { atMs, event } of happenings) state = stepMember(state, event, atMs).state;
   return state;
 }
 
-function phaseAfter(happenings: readonly Happening<MemberEvent>[]): string | undefined {
+function phaseAfter(happenings: readonly TimedEvent<MemberEvent>[]): string | undefined {
   return run(happenings).members.get(A)?.phase;
 }
 
 test('golden: a flapping host stays suspect for longer each time', (t) => {
-  const failures = (atMs: number): Happening<MemberEvent>[] =>
+  const failures = (atMs: number): TimedEvent<MemberEvent>[] =>
     [0, 10, 20].map((later) => ({ atMs: atMs + later, event: { type: 'failed', upstream: A } }));
-  const contacts = (atMs: number): Happening<MemberEvent>[] =>
+  const contacts = (atMs: number): TimedEvent<MemberEvent>[] =>
     [0, 500, 1_000, 2_000, 4_000].map((later) => ({
       atMs: atMs + later,
       event: { type: 'heard', upstream: A },
--- a/test/memoryfailures.test.ts
+++ b/test/memoryfailures.test.ts
@@ -2,7 +2,7 @@
 import type { Incarnation, ModelId, Revision } from '../src/base/index.js';
 import { committedBytes } from '../src/core/ledger/index.js';
 import type { EngineReport, KeyValue } from '../src/port/index.js';
-import { session, type Happening } from './support/session.js';
+import { session, type TimedEvent } from './support/session.js';
 import { newSidecar, stepSidecar, type SidecarEvent } from './support/stepsidecar.js';
 
 /** The variable parts of an engine report. */
@@ -111,7 +111,7 @@
 const read = (item: KeyValue | undefined): SidecarEvent => ({ store: { type: 'read', item } });
 
 /** Events until a sidecar may send orders: it takes incarnation 1 and receives a report requested after that. */
-function initialEvents(checksFencing: boolean): Happening<SidecarEvent>[] {
+function initialEvents(checksFencing: boolean): TimedEvent<SidecarEvent>[] {
   return [
     { atMs: 0, event: document(checksFencing) },
     { atMs: 0, event: tick },
@@ -128,7 +128,7 @@
   /** Memory committed at the end, in bytes. */
   readonly committed: number;
   /** Replaces the default initial events. */
-  readonly before?: readonly Happening<SidecarEvent>[];
+  readonly before?: readonly TimedEvent<SidecarEvent>[];
   readonly events: readonly (readonly [number, SidecarEvent])[];
 }
 
--- a/test/mesh.test.ts
+++ b/test/mesh.test.ts
@@ -8,7 +8,7 @@
   type MeshRecord,
   type MeshState,
 } from '../src/core/mesh/index.js';
-import { session, type Happening } from './support/session.js';
+import { session, type TimedEvent } from './support/session.js';
 
 const IDS = ['a', 'b', 'c', 'd', 'e', 'f'];
 
@@ -35,7 +35,7 @@
 }
 
 const tick: MeshEvent = { type: 'tick' };
-const at = (atMs: number, event: MeshEvent): Happening<MeshEvent> => ({ atMs, event });
+const at = (atMs: number, event: MeshEvent): TimedEvent<MeshEvent> => ({ atMs, event });
 const push = (host: string, ...records: MeshRecord[]): MeshEvent => ({
   type: 'pushArrived',
   callId: 1,
--- a/test/once.test.ts
+++ b/test/once.test.ts
@@ -2,7 +2,7 @@
 import { check } from '../bench/once/check.js';
 import { World } from '../bench/once/world.js';
 import type { Transition } from '../src/base/index.js';
-import { session, type Happening } from './support/session.js';
+import { session, type TimedEvent } from './support/session.js';
 
 const KEY_2 = 2;
 
@@ -17,7 +17,7 @@
 
 const ACTS: Readonly<Record<Act['act'], (world: World, act: never) => void>> = {
   send: (world, { entry }: { entry: number }) =>
-    world.send({ wish: KEY_2, entry, upstream: 0, isAffordable: true }),
+    world.send({ requestIndex: KEY_2, entry, upstream: 0, isAffordable: true }),
   deliver: (world, { message }: { message: string }) => world.deliverNamed(message),
   lose: (world, { message }: { message: string }) => world.loseNamed(message),
   admit: (world) => world.admit(64),
@@ -25,7 +25,7 @@
   'hand-over': (world) => world.handOver(2),
   'kill-sidecar': (world) => world.kill(0),
   'kill-entry': (world) => world.killEntry(0),
-  'cut-store': (world) => world.cutStore(),
+  'cut-store': (world) => world.stopStore(),
   settle: (world) => world.settle(40),
 };
 
@@ -53,7 +53,7 @@
 };
 
 /** Returns the acts of a request with an idempotency key and of its retry, with the failures at their points. */
-function script(names: readonly string[]): Happening<Act>[] {
+function script(names: readonly string[]): TimedEvent<Act>[] {
   const at = (point: Point) =>
     names.flatMap((name) => (FAILURES[name]?.at === point ? FAILURES[name].acts : []));
   const retry = at('retry');
@@ -92,7 +92,7 @@
       new World(true),
       script(failures),
     );
-    t.true(world.witness.runsOf('key-2') <= 1);
+    t.true(world.oracle.runsOf('key-2') <= 1);
   });
 }
 
--- a/test/path.test.ts
+++ b/test/path.test.ts
@@ -6,12 +6,12 @@
 import { request } from 'undici';
 import { startEntry, startSidecar } from '../src/index.js';
 import { FakeEngine } from '../standin/index.js';
-import { openRig } from './support/pathrig.js';
+import { startRig } from './support/pathrig.js';
 import { serviceDocument } from './support/servicedocument.js';
 
 const KEY = 'carrier-key';
 
-test('a streamed request goes through entry and sidecar to the engine and back', async (t) => {
+test('a streamed request passes through entry and sidecar to the engine, and its answer back', async (t) => {
   const engine = new FakeEngine({ tokenMs: 1, tokens: 5 });
   const upstreamUrl = await engine.listen();
   const place = { hostId: 'h', region: 'cantabrico', availabilityZone: 'oviedo-a' };
@@ -52,10 +52,10 @@
   engine.close();
 });
 
-// Guards against stops that reset requests: they get "not run" or are never taken, not silence.
-test('a connection that an entry has not accepted when its stop closes the listener gets an answer', async (t) => {
+// Guards against a stop that resets a connection which the kernel has completed and the entry has not accepted yet.
+test('a connection that is not accepted yet when a planned stop closes the listener gets an answer', async (t) => {
   const engine = new FakeEngine({ tokenMs: 1, tokens: 5 });
-  const rig = await openRig({ upstreams: [{ url: await engine.listen() }] });
+  const rig = await startRig({ upstreams: [{ url: await engine.listen() }] });
   const socket = connect(rig.port, '127.0.0.1');
   const ended = new Promise<string>((resolve) => {
     let text = '';
@@ -70,7 +70,7 @@
     `POST /v1/chat/completions HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer ${KEY}\r\n` +
       `Connection: close\r\nContent-Length: ${body.length}\r\n\r\n${body}`,
   );
-  // The kernel completes the connection as soon as it is asked for; accepting it takes a turn of the event loop.
+  // The kernel completes the connection at once; the entry accepts it in a later iteration of the event loop.
   await new Promise<void>((resolve) => {
     process.nextTick(resolve);
   });
