--- a/test/pathprocess.test.ts
+++ b/test/pathprocess.test.ts
@@ -7,7 +7,7 @@
 import { startBenchEntry } from '../bench/path/startbenchentry.js';
 import { Daemon } from '../demo/daemon.js';
 import { GatedEngine } from './support/gatedengine.js';
-import { startReading } from './support/reading.js';
+import { readFirstChunk } from './support/reading.js';
 
 const SLOTS = 16;
 
@@ -26,7 +26,7 @@
   });
 }
 
-/** A held engine and a sidecar for each, and an entry, all daemons as processes. */
+/** Starts `count` held engines, a sidecar process for each, and an entry process. */
 async function startPath(count: number) {
   const engines = Array.from({ length: count }, () => new GatedEngine());
   const urls = await Promise.all(engines.map((engine) => engine.listen()));
@@ -39,42 +39,42 @@
       headers: { authorization: `Bearer ${benchDocument.key}` },
       body: JSON.stringify({ model: 'notice-1', stream: true, messages: [{ content: 'a' }] }),
     });
-    return startReading(answer);
+    return readFirstChunk(answer);
   };
   return { engines, sidecars, entry, chat };
 }
 
-test('SIGTERM to both daemons under a stream: the stream is whole, both exit with 0', async (t) => {
+test('a stream completes when both daemons get SIGTERM, and both exit with 0', async (t) => {
   const { engines, sidecars, entry, chat } = await startPath(1);
   const reading = await chat();
   const exits = [entry.end('SIGTERM'), sidecars[0]!.end('SIGTERM')];
   engines[0]!.release();
-  t.true((await reading.whole()).endsWith('data: [DONE]\n\n'));
+  t.true((await reading.readAll()).endsWith('data: [DONE]\n\n'));
   t.deepEqual(await Promise.all(exits), [0, 0]);
   engines[0]!.close();
 });
 
-test('a second SIGTERM ends a stream with a typed error, and the exit code is 0', async (t) => {
+test('a second SIGTERM ends a stream with a typed error, and the entry exits with 0', async (t) => {
   const { engines, sidecars, entry, chat } = await startPath(1);
   const reading = await chat();
   const exit = entry.end('SIGTERM');
   entry.signal('SIGTERM');
   const repeat = setInterval(() => entry.signal('SIGTERM'), 20);
-  t.regex(await reading.whole(), /event: error\ndata: .*entry-leaving.*"executed":"unknown"/);
+  t.regex(await reading.readAll(), /event: error\ndata: .*entry-leaving.*"executed":"unknown"/);
   t.is(await exit, 0);
   clearInterval(repeat);
   t.is(await sidecars[0]!.end('SIGTERM'), 0);
   engines[0]!.close();
 });
 
-test('a sidecar is killed under a stream: another continues it, byte for byte', async (t) => {
+test('when a sidecar is killed during a stream, another one continues it byte for byte', async (t) => {
   const { engines, sidecars, entry, chat } = await startPath(2);
   const reading = await chat();
   const killed = engines.findIndex(({ runCount: ran }) => ran === 1);
   await sidecars[killed]!.end('SIGKILL');
   engines[1 - killed]!.release();
-  const events = (await reading.whole()).split('\n\n');
-  // The held engine says the same at each call, so its first event stands twice.
+  const events = (await reading.readAll()).split('\n\n');
+  // The held engine sends the same events for each call, so its first event occurs twice.
   t.is(events.length, 4);
   t.is(events[0], events[1]);
   t.is(events[2], 'data: [DONE]');
--- a/test/pathsession.test.ts
+++ b/test/pathsession.test.ts
@@ -8,29 +8,29 @@
 import { request } from 'undici';
 import { FakeEngine, FakeService, fixedFaults } from '../standin/index.js';
 import { GatedEngine } from './support/gatedengine.js';
-import { openRig } from './support/pathrig.js';
-import { startReading } from './support/reading.js';
+import { startRig } from './support/pathrig.js';
+import { readFirstChunk } from './support/reading.js';
 import { Transcript } from './support/transcript.js';
 
-type Rig = Awaited<ReturnType<typeof openRig>>;
+type Rig = Awaited<ReturnType<typeof startRig>>;
 type EngineOptions = ConstructorParameters<typeof FakeEngine>[0];
 
-const read = async (answer: ReturnType<Rig['chat']>) => startReading(await answer);
+const read = async (answer: ReturnType<Rig['chat']>) => readFirstChunk(await answer);
 
 async function withEngines(
   options: readonly EngineOptions[],
   use: (rig: Rig, engines: readonly FakeEngine[]) => Promise<void>,
-  more: Partial<Parameters<typeof openRig>[0]> = {},
+  more: Partial<Parameters<typeof startRig>[0]> = {},
 ): Promise<void> {
-  const engines = options.map((one) => new FakeEngine({ tokenMs: 1, tokens: 8, ...one }));
+  const engines = options.map((option) => new FakeEngine({ tokenMs: 1, tokens: 8, ...option }));
   const urls = await Promise.all(engines.map((engine) => engine.listen()));
-  const rig = await openRig({ upstreams: urls.map((url) => ({ url })), ...more });
+  const rig = await startRig({ upstreams: urls.map((url) => ({ url })), ...more });
   await use(rig, engines);
   await rig.close();
   for (const engine of engines) engine.close();
 }
 
-test('what callers get wrong is refused with a type, and never runs', async (t) => {
+test('invalid requests are refused with a typed problem and never run', async (t) => {
   const seen = new Transcript();
   await withEngines([{}], async (rig, [engine]) => {
     const chat = '/v1/chat/completions';
@@ -53,22 +53,22 @@
   seen.check(t, 'path-refusals');
 });
 
-test('what is no HTTP, and headers that are too large, get a typed end', async (t) => {
+test('malformed HTTP and oversized headers get a typed error', async (t) => {
   const seen = new Transcript();
   await withEngines([{}], async (rig) => {
-    const say = async (what: string, sent: string) => {
+    const sendRaw = async (what: string, sent: string) => {
       const socket = connect(rig.port, '127.0.0.1');
       socket.end(sent);
       const answer = (await text(socket)).replace(/"requestId":"[^"]*"/, '"requestId":"REQUEST"');
       seen.note(what, answer.replace(/content-length: \d+/, 'content-length: N'));
     };
-    await say('no HTTP', 'hello\r\n\r\n');
-    await say('large headers', `GET / HTTP/1.1\r\nx: ${'x'.repeat(30_000)}\r\n\r\n`);
+    await sendRaw('no HTTP', 'hello\r\n\r\n');
+    await sendRaw('large headers', `GET / HTTP/1.1\r\nx: ${'x'.repeat(30_000)}\r\n\r\n`);
   });
   seen.check(t, 'path-unreadable');
 });
 
-test('a cut stream is resumed at the same engine, byte for byte', async (t) => {
+test('a cut stream is resumed at the same engine byte for byte', async (t) => {
   const seen = new Transcript();
   const faults = fixedFaults([{ type: 'none' }, { type: 'cut', afterTokens: 3 }]);
   await withEngines([{ faults }], async (rig, [engine]) => {
@@ -80,9 +80,9 @@
   seen.check(t, 'path-resume');
 });
 
-test('a stream whose engine is lost is continued at another, byte for byte', async (t) => {
+test('a stream whose engine is lost is continued at another engine byte for byte', async (t) => {
   const seen = new Transcript();
-  // The cut engine loses the attempts to resume as well; the list is of all engines' calls in order.
+  // Faults apply to the calls of all engines in order: after the cut, both attempts to resume fail as well.
   const cut = { type: 'cut', afterTokens: 3 } as const;
   const faults = fixedFaults([{ type: 'none' }, cut, { type: 'loss' }, { type: 'loss' }]);
   await withEngines([{ faults }, { faults }], async (rig, engines) => {
@@ -98,21 +98,21 @@
   seen.check(t, 'path-continue');
 });
 
-test('a stream that nobody can continue ends with a typed error event', async (t) => {
+test('a stream that no engine can continue ends with a typed error event', async (t) => {
   const seen = new Transcript();
-  // Far more than it can generate before it is closed, also on a busy machine.
+  // Far more tokens than the engine can generate before it is closed, even on a busy machine.
   await withEngines([{ tokens: 1_000_000 }], async (rig, [engine]) => {
     const answer = await rig.chat('hello');
-    const reading = await startReading(answer);
+    const reading = await readFirstChunk(answer);
     engine?.close();
-    const rest = await reading.whole();
+    const rest = await reading.readAll();
     const [, event = ''] = /(event: error\n.*\n\n)$/.exec(rest) ?? [];
     seen.note('end', event.replace(/"(requestId|detail)":"[^"]*"/g, '"$1":"..."'));
   });
   seen.check(t, 'path-broken');
 });
 
-test('the answer to another request is not passed on; the request runs elsewhere', async (t) => {
+test('an answer to another request is not passed on, and the request runs at another engine', async (t) => {
   const seen = new Transcript();
   const faults = fixedFaults([{ type: 'crossing' }]);
   const late = fixedFaults([{ type: 'delay', delayMs: 30 }]);
@@ -129,10 +129,10 @@
 test('a caller that leaves frees the engine', async (t) => {
   const engine = new FakeEngine({ tokenMs: 1, tokens: 1_000_000 });
   const url = await engine.listen();
-  const rig = await openRig({ upstreams: [{ url }] });
+  const rig = await startRig({ upstreams: [{ url }] });
   const answer = await rig.chat('hello');
-  const reading = await startReading(answer);
-  reading.leave();
+  const reading = await readFirstChunk(answer);
+  reading.disconnect();
   let running = 1;
   while (running > 0) {
     const report = await request(`${url}/admin/report`);
@@ -143,7 +143,7 @@
   engine.close();
 });
 
-test('a slow caller holds its engine back, and nobody else', async (t) => {
+test('a slow caller slows its engine down and no other caller', async (t) => {
   const total = 20_000;
   let written = 0;
   function* events(id: string, count: number): Iterable<string> {
@@ -171,10 +171,10 @@
     server.listen(0, '127.0.0.1', resolve);
   });
   const { port } = server.address() as AddressInfo;
-  const rig = await openRig({ upstreams: [{ url: `http://127.0.0.1:${port}` }] });
+  const rig = await startRig({ upstreams: [{ url: `http://127.0.0.1:${port}` }] });
   const slow = await rig.chat('slow');
   let before = -1;
-  // Others' answers go by whole while the slow one stands still.
+  // Other requests are answered completely while the slow caller's stream is stalled.
   while (written !== before) {
     before = written;
     for (let round = 0; round < 20; round += 1) {
@@ -190,16 +190,16 @@
   server.close();
 });
 
-test('a planned stop of an entry finishes its streams and refuses new work', async (t) => {
+test('a planned stop of an entry finishes its streams and refuses new requests', async (t) => {
   const seen = new Transcript();
   const engine = new GatedEngine();
-  const rig = await openRig({ upstreams: [{ url: await engine.listen() }] });
+  const rig = await startRig({ upstreams: [{ url: await engine.listen() }] });
   const readings = await Promise.all([rig.chat('a'), rig.chat('b')].map(read));
   const stopped = rig.stopEntry();
   await seen.answer('new request', await rig.chat('c'));
   await seen.answer('readiness', await rig.ask('/readyz', undefined));
   engine.release();
-  for (const reading of readings) t.true((await reading.whole()).endsWith('data: [DONE]\n\n'));
+  for (const reading of readings) t.true((await reading.readAll()).endsWith('data: [DONE]\n\n'));
   await stopped;
   t.is(engine.runCount, 2);
   await rig.close();
@@ -207,10 +207,10 @@
   seen.check(t, 'path-stop-entry');
 });
 
-test('a planned stop of a sidecar finishes its streams; new work goes elsewhere', async (t) => {
+test('a planned stop of a sidecar finishes its streams, and new requests go to another sidecar', async (t) => {
   const engines = [new GatedEngine(), new GatedEngine()];
   const urls = await Promise.all(engines.map((engine) => engine.listen()));
-  const rig = await openRig({ upstreams: urls.map((url) => ({ url })) });
+  const rig = await startRig({ upstreams: urls.map((url) => ({ url })) });
   const readings = await Promise.all(['a', 'b', 'c', 'd'].map((it) => rig.chat(it)).map(read));
   const stopped = rig.stopSidecar(0);
   const [ran, ranElsewhere] = engines.map((engine) => engine.runCount);
@@ -221,23 +221,23 @@
   );
   for (const engine of engines) engine.release();
   for (const reading of [...readings, ...later]) {
-    t.true((await reading.whole()).endsWith('data: [DONE]\n\n'));
+    t.true((await reading.readAll()).endsWith('data: [DONE]\n\n'));
   }
   await stopped;
   await rig.close();
   for (const engine of engines) engine.close();
 });
 
-test('at the bound of a stop, what is left gets a typed end', async (t) => {
+test('a stream that is still running at the drain timeout ends with a typed error', async (t) => {
   const seen = new Transcript();
   const endless = { tokens: 1_000_000 };
   await withEngines(
     [endless],
     async (rig) => {
       const stream = await rig.chat('a');
-      const reading = await startReading(stream);
+      const reading = await readFirstChunk(stream);
       await rig.stopEntry();
-      const [, event = ''] = /(event: error\n.*\n\n)$/.exec(await reading.whole()) ?? [];
+      const [, event = ''] = /(event: error\n.*\n\n)$/.exec(await reading.readAll()) ?? [];
       seen.note('end', event.replace(/"requestId":"[^"]*"/, '"requestId":"REQUEST"'));
     },
     { drainTimeoutMs: 50 },
@@ -245,11 +245,11 @@
   seen.check(t, 'path-stop-bound');
 });
 
-test('a plain service gets method, path, headers and body, and the caller its answer', async (t) => {
+test('a plain service receives method, path, headers and body, and the caller its answer', async (t) => {
   const seen = new Transcript();
   const faults = fixedFaults([{ type: 'none' }, { type: 'none' }, { type: 'cut', afterTokens: 0 }]);
   const service = new FakeService({ faults });
-  const rig = await openRig({ upstreams: [{ url: await service.listen(), type: 'plain' }] });
+  const rig = await startRig({ upstreams: [{ url: await service.listen(), type: 'plain' }] });
   const path = '/services/redactor';
   await seen.answer('lookup', await rig.ask(`${path}/addresses/7?zone=a`, undefined));
   const key = { 'x-business-key': 'transfer-1' };
@@ -265,9 +265,9 @@
   seen.check(t, 'path-plain');
 });
 
-test('a lookup whose only upstream broke off is asked again there', async (t) => {
+test('a lookup is retried at its only upstream after the connection was cut', async (t) => {
   const service = new FakeService({ faults: fixedFaults([{ type: 'cut', afterTokens: 0 }]) });
-  const rig = await openRig({ upstreams: [{ url: await service.listen(), type: 'plain' }] });
+  const rig = await startRig({ upstreams: [{ url: await service.listen(), type: 'plain' }] });
   const answer = await rig.ask('/services/redactor/addresses/7', undefined);
   t.is(answer.statusCode, 200);
   t.deepEqual(await answer.body.json(), { found: '/addresses/7' });
@@ -276,16 +276,16 @@
   service.close();
 });
 
-test('limits on what is in flight are refused with a type and a time', async (t) => {
+test('a request above the in-flight limit is refused with a type and a retry-after time', async (t) => {
   const seen = new Transcript();
   const limits = { inFlightPerCustomer: 1 };
   await withEngines(
     [{ tokens: 1_000_000 }],
     async (rig) => {
       const stream = await rig.chat('a');
-      const reading = await startReading(stream);
+      const reading = await readFirstChunk(stream);
       await seen.answer('second', await rig.chat('b'));
-      reading.leave();
+      reading.disconnect();
     },
     { limits },
   );
--- a/test/planlease.test.ts
+++ b/test/planlease.test.ts
@@ -6,7 +6,7 @@
   type LeaseEvent,
   type LeaseState,
 } from '../src/core/planlease/index.js';
-import { session, type Happening } from './support/session.js';
+import { session, type TimedEvent } from './support/session.js';
 
 const KEY = '/tarragonstile/planners/redactor/cantabrico';
 const START = createLease(KEY, 'one');
@@ -16,14 +16,14 @@
   return value as Revision;
 }
 
-const taken: readonly Happening<LeaseEvent>[] = [
+const taken: readonly TimedEvent<LeaseEvent>[] = [
   { atMs: 0, event: tick },
   { atMs: 2, event: { type: 'read', answer: {} } },
   { atMs: 4, event: { type: 'granted', leaseId: 'L1' } },
   { atMs: 6, event: { type: 'swapped', outcome: 'swapped', revision: revision(70) } },
 ];
 
-function play(events: readonly Happening<LeaseEvent>[]): LeaseState {
+function play(events: readonly TimedEvent<LeaseEvent>[]): LeaseState {
   let state = START;
   for (const { atMs, event } of events) state = stepLease(state, event, atMs).state;
   return state;
--- a/test/routing.test.ts
+++ b/test/routing.test.ts
@@ -12,7 +12,7 @@
 } from '../src/core/routing/index.js';
 import type { UpstreamLoad } from '../src/wire/index.js';
 import { cell } from './support/cell.js';
-import { session, type Happening } from './support/session.js';
+import { session, type TimedEvent } from './support/session.js';
 
 const SEED = 7;
 const THREE_UPSTREAMS = ['a@north', 'b@south', 'c@south'];
@@ -23,7 +23,7 @@
 }
 
 function drive(
-  happenings: readonly Happening<RoutingEvent>[],
+  happenings: readonly TimedEvent<RoutingEvent>[],
   from = start(),
 ): Transition<RoutingState, RoutingEffect> {
   let state = from;
@@ -36,7 +36,7 @@
   return { state, effects };
 }
 
-function at(atMs: number, ...events: readonly RoutingEvent[]): Happening<RoutingEvent>[] {
+function at(atMs: number, ...events: readonly RoutingEvent[]): TimedEvent<RoutingEvent>[] {
   return events.map((event) => ({ atMs, event }));
 }
 
--- a/test/soak.test.ts
+++ b/test/soak.test.ts
@@ -1,29 +1,29 @@
 import test from 'ava';
 import { runSoak } from './support/runsoak.js';
 
-/** Seeds that once failed stay here, each with a line on its cause; the first is a short run of everything. */
+/** A short run of each range of seeds, and seeds that once failed, each with the cause of the failure. */
 const SEEDS: readonly { readonly seed: number; readonly forS: number }[] = [
   { seed: 1, forS: 5 },
-  // From 20,000 on requests that end their servers come, and hosts are suspended.
+  // From 20,000 on there are poison requests and suspended hosts.
   { seed: 20_100, forS: 8 },
-  // From 30,000 on customers are configured, and callers come with keys.
+  // From 30,000 on customers are configured, and callers send keys.
   { seed: 30_001, forS: 8 },
-  // From 40,000 on servers name limits, leave before the list says so, and want pauses.
+  // From 40,000 on servers report limits, leave before they are listed as draining, and ask for backoff.
   { seed: 40_001, forS: 12 },
-  // SIGHUP came while modules were loaded, before a handler stood.
+  // SIGHUP arrived while modules were loaded, before its handler was installed.
   { seed: 1003, forS: 5 },
-  // The soak's own: an outgoing connection had taken the port of an entry that was down.
+  // A fault of the soak: an outgoing connection had taken the port of an entry that was down.
   { seed: 4009, forS: 6 },
-  // The soak's own: a proxy passed a reset on as an ordinary end, so that a cut answer without a length was whole.
+  // A fault of the soak: a proxy passed a reset on as an ordinary end, so a cut answer without a length seemed whole.
   { seed: 3000, forS: 7 },
   // A second SIGTERM during a planned stop ended the process at once.
   { seed: 5008, forS: 10 },
 ];
-/** Bounds in time are judged by hand, on a machine that does nothing else: here they only catch what hangs. */
+/** Time bounds are checked strictly by hand, on an idle machine; here they only catch requests that hang. */
 const SLACK_MS = '8000';
 
 for (const { seed, forS } of SEEDS) {
-  test.serial(`the promises hold under faults and signals, seed ${seed}`, async (t) => {
+  test.serial(`the system keeps its promises under faults and signals, seed ${seed}`, async (t) => {
     const { breaches, answered, faults } = await runSoak(
       ...['--seed', String(seed), '--for', String(forS), '--slack', SLACK_MS],
     );
--- a/test/soakdefects.test.ts
+++ b/test/soakdefects.test.ts
@@ -3,40 +3,43 @@
 
 const FOR_S = 2.5;
 
-interface Planted {
+interface PlantedDefect {
   readonly promise: string;
-  /** Faults without which the defect does not show. */
+  /** Faults that make the defect visible. */
   readonly faultNames: readonly string[];
-  /** Longer where a bound has to run out first. */
+  /** Duration; longer where a time bound has to expire first. */
   readonly forS?: number;
   readonly gapMs?: number;
-  /** With requests that end their servers. */
+  /** True to send poison requests. */
   readonly isHarsh?: boolean;
-  /** With customers and keys. */
+  /** True to configure customers and send keys. */
   readonly isKeyed?: boolean;
 }
 
-/** A planted defect for each promise that the soak looks at. */
-const DEFECTS: Readonly<Record<string, Planted>> = {
-  twice: { promise: 'runs once at most', faultNames: ['hangUp'] },
-  'false-refusal': { promise: '"not run" is true', faultNames: ['hangUp'] },
-  unsigned: { promise: 'answers are servers', faultNames: ['hangUp'] },
-  mixed: { promise: 'answers are whole', faultNames: ['hangUp'] },
-  short: { promise: 'answers are whole', faultNames: ['hangUp'] },
+/** Defects to plant, with the promise that each breaks. */
+const DEFECTS: Readonly<Record<string, PlantedDefect>> = {
+  twice: { promise: 'runs at most once', faultNames: ['hangUp'] },
+  'false-refusal': {
+    promise: 'a request refused as "not run" has not run',
+    faultNames: ['hangUp'],
+  },
+  unsigned: { promise: 'answers are signed', faultNames: ['hangUp'] },
+  mixed: { promise: 'answers are complete', faultNames: ['hangUp'] },
+  short: { promise: 'answers are complete', faultNames: ['hangUp'] },
   skipped: { promise: 'answers are in order', faultNames: ['hangUp'] },
-  hang: { promise: 'every request is answered in its time', faultNames: ['hangUp'] },
-  exits: { promise: 'no process ends by itself', faultNames: ['hangUp'] },
+  hang: { promise: 'every request ends by its deadline', faultNames: ['hangUp'] },
+  exits: { promise: 'no process exits unexpectedly', faultNames: ['hangUp'] },
   limit: { promise: 'memory is never overcommitted', faultNames: ['hangUp'] },
   holders: { promise: 'orders have one holder at a time', faultNames: ['hangUp'] },
   revert: { promise: 'a configuration never reverts', faultNames: ['configure'] },
   stale: {
-    promise: 'a configuration is in force in seconds',
+    promise: 'a configuration takes effect within seconds',
     faultNames: ['configure'],
     forS: 8,
     gapMs: 3000,
   },
   drain: {
-    promise: 'a leaving server gets no new work',
+    promise: 'a draining server gets no new work',
     faultNames: ['replaceServer'],
     forS: 7,
   },
@@ -47,45 +50,49 @@
     gapMs: 300,
   },
   'sends-on': {
-    promise: 'a request that ends servers is not sent on',
+    promise: 'a poison request is not sent on',
     faultNames: ['hangUp'],
     forS: 25,
     gapMs: 3000,
     isHarsh: true,
   },
-  forged: { promise: 'a request is named by its key', faultNames: ['hangUp'], isKeyed: true },
+  forged: {
+    promise: 'a request is attributed to the customer of its key',
+    faultNames: ['hangUp'],
+    isKeyed: true,
+  },
   'keeps-keys': {
-    promise: 'a removed key is refused in seconds',
+    promise: 'a removed key is refused within seconds',
     faultNames: ['configure'],
     forS: 10,
     gapMs: 1500,
     isKeyed: true,
   },
   'own-quota': {
-    promise: 'a limit holds over all entries',
+    promise: 'a customer limit holds across all entries',
     faultNames: ['hangUp'],
     forS: 6,
     isKeyed: true,
   },
   'whole-limit': {
-    promise: 'a limit of a server holds over all entries',
+    promise: 'a server limit holds across all entries',
     faultNames: ['nameLimit'],
     forS: 9,
     gapMs: 3000,
   },
   wiped: {
-    promise: 'a server that says it leaves gets nothing more',
+    promise: 'a server that reports that it is leaving gets no more requests',
     faultNames: ['leaveUnlisted'],
     forS: 8,
     gapMs: 4000,
   },
   'pause-last': {
-    promise: 'a server that wants a pause is left alone',
+    promise: 'a server that asks for backoff gets no requests',
     faultNames: ['wantPause'],
     forS: 8,
     gapMs: 300,
   },
-  gone: { promise: 'work ends when its caller leaves', faultNames: ['silence'], gapMs: 200 },
+  gone: { promise: 'work ends when its caller disconnects', faultNames: ['silence'], gapMs: 200 },
 };
 
 for (const [defect, planted] of Object.entries(DEFECTS)) {
--- a/test/soakfaults.test.ts
+++ b/test/soakfaults.test.ts
@@ -5,7 +5,7 @@
 
 const SCRIPT = join(import.meta.dirname, '..', 'bench', 'soak', 'main.js');
 
-test('a soak with a fault that it does not know ends at once and names those that it knows', async (t) => {
+test('a soak with an unknown fault name exits at once and lists the known names', async (t) => {
   const args = [SCRIPT, '--faults', 'freeze,delayServer', '--for', '1'];
   const error = await t.throwsAsync(promisify(execFile)(process.execPath, args));
   const { code, stderr } = error as unknown as { code: number; stderr: string };
--- a/test/stoptwice.test.ts
+++ b/test/stoptwice.test.ts
@@ -5,8 +5,8 @@
 
 const SCRIPT = join(import.meta.dirname, '..', 'bench', 'soak', 'stoptwice.js');
 
-test('a second SIGTERM during a planned stop cuts nothing', async (t) => {
-  // A process of its own: sockets that were reset would keep a test's process alive.
+test('a second SIGTERM during a planned stop does not cut a running request', async (t) => {
+  // Runs in a separate process, because reset sockets would keep the test process alive.
   const { stdout } = await promisify(execFile)(process.execPath, [SCRIPT]);
   t.is(stdout.trim(), '200');
 });
--- a/test/support/freeport.ts
+++ b/test/support/freeport.ts
@@ -1,8 +1,8 @@
 import { createServer } from 'node:net';
 
 /**
- * Ports below those that the system gives to whoever asks for any: such a one was taken by another process between
- * its choice and its use, seen as EADDRINUSE of a port of the system's own range beside busy processes.
+ * Below the system's range of ephemeral ports. On a busy machine another process can take an ephemeral port between
+ * its choice and its use, which then fails with EADDRINUSE.
  */
 const FIRST_PORT = 10_000;
 const PORTS_A_PROCESS = 30;
@@ -18,7 +18,7 @@
   });
 }
 
-/** A port of the loopback that is free, from a range of this process's own. */
+/** Returns a free loopback port from a range that belongs to this process. */
 export async function freePort(): Promise<number> {
   const first = FIRST_PORT + (process.pid % PROCESSES) * PORTS_A_PROCESS;
   for (;;) {
--- a/test/support/handoverfleet.ts
+++ b/test/support/handoverfleet.ts
@@ -9,7 +9,7 @@
 import { FakeEngine, FakeHostList, MemoryStore, StoreServer } from '../../standin/index.js';
 import { freePort } from './freeport.js';
 import { writeDocument } from './meshnode.js';
-import { startReading } from './reading.js';
+import { readFirstChunk } from './reading.js';
 import { unrefClock } from './unrefclock.js';
 
 const KEY = 'clerk-key';
@@ -112,10 +112,10 @@
     /** Tokens prefilled by the engines that did not start the stream. */
     readonly prefilledAtPeer: number;
   }> {
-    const reading = await startReading(await this.ask());
+    const reading = await readFirstChunk(await this.ask());
     const from = this.engines.findIndex(({ ran }) => ran > 0);
     const [sidecar] = this.sidecars.splice(from, 1);
-    const [answer] = await Promise.all([reading.whole(), sidecar!.stop()]);
+    const [answer] = await Promise.all([reading.readAll(), sidecar!.stop()]);
     const peers = this.engines.filter((_engine, index) => index !== from);
     const prefilledAtPeer = peers.reduce((sum, { counts }) => sum + counts.prefillTokens, 0);
     const again = await text((await this.ask()).body);
--- a/test/support/pathrig.ts
+++ b/test/support/pathrig.ts
@@ -9,13 +9,13 @@
 const MEGABYTE = 1_000_000;
 const PLACE = { hostId: 'h', region: 'cantabrico', availabilityZone: 'oviedo-a' };
 
-/** One upstream of a rig. */
+/** An upstream of the test rig. */
 interface RigUpstream {
   readonly url: string;
   readonly type?: 'engine' | 'plain';
 }
 
-/** Options of a rig. */
+/** Options of the test rig. */
 interface RigOptions {
   readonly upstreams: readonly RigUpstream[];
   readonly drainTimeoutMs?: number;
@@ -87,24 +87,25 @@
   };
 }
 
-/** A running rig. */
+/** Running sidecars and an entry in this process. */
 interface Rig {
   readonly port: number;
+  /** Sends a request to the entry; a GET unless there is a body. */
   ask(
     path: string,
     body: string | undefined,
     headers?: Readonly<Record<string, string>>,
     method?: Dispatcher.HttpMethod,
   ): Promise<Dispatcher.ResponseData>;
-  /** A streamed chat request. */
+  /** Sends a streamed chat request. */
   chat(content: string, more?: object): Promise<Dispatcher.ResponseData>;
   stopEntry(): Promise<void>;
   stopSidecar(index: number): Promise<void>;
   close(): Promise<void>;
 }
 
-/** Sidecars before the given upstreams, and an entry before them, in this process. */
-export async function openRig(options: RigOptions): Promise<Rig> {
+/** Starts a sidecar for each upstream and an entry, all in this process. */
+export async function startRig(options: RigOptions): Promise<Rig> {
   const sidecars = await Promise.all(
     options.upstreams.map((upstream, index) => startRigSidecar(upstream, index, options)),
   );
--- a/test/support/reading.ts
+++ b/test/support/reading.ts
@@ -1,26 +1,26 @@
 import type { Dispatcher } from 'undici';
 
-/** An answer of which the first piece has been read. */
+/** An answer whose first chunk has been read. */
 interface Reading {
-  /** Reads to the end; the whole body, with the first piece. */
-  whole(): Promise<string>;
-  /** Leaves, as a caller that closes its connection. */
-  leave(): void;
+  /** Reads to the end and returns the whole body, including the first chunk. */
+  readAll(): Promise<string>;
+  /** Closes the connection, as a caller that leaves. */
+  disconnect(): void;
 }
 
-/** Waits for the first piece of an answer. */
-export async function startReading({ body }: Dispatcher.ResponseData): Promise<Reading> {
-  const pieces = (body as AsyncIterable<Buffer>)[Symbol.asyncIterator]();
-  const first = await pieces.next();
+/** Waits for the first chunk of an answer. */
+export async function readFirstChunk({ body }: Dispatcher.ResponseData): Promise<Reading> {
+  const chunks = (body as AsyncIterable<Buffer>)[Symbol.asyncIterator]();
+  const first = await chunks.next();
   return {
-    async whole() {
+    async readAll() {
       let text = String(first.value);
-      for (let next = await pieces.next(); !next.done; next = await pieces.next()) {
+      for (let next = await chunks.next(); !next.done; next = await chunks.next()) {
         text += next.value.toString();
       }
       return text;
     },
-    leave() {
+    disconnect() {
       body.on('error', () => {}).destroy();
     },
   };
--- a/test/support/servicedocument.ts
+++ b/test/support/servicedocument.ts
@@ -1,23 +1,23 @@
 import { createHash } from 'node:crypto';
 
-/** What a test may choose of its service's document. */
-interface Choices {
+/** Parts of the document that a test chooses. */
+interface DocumentOptions {
   readonly sidecarAddresses: readonly string[];
-  /** Bearer keys of the one customer. */
+  /** API keys of the only customer. */
   readonly keys: readonly string[];
-  /** Models that the service offers; `notice-1` by default. */
+  /** Ids of the service's models; `notice-1` by default. */
   readonly models?: readonly string[];
 }
 
 const MEGABYTE = 1_000_000;
 const MINUTE_MS = 60_000;
 
-/** A small, whole document of the service `redactor`. */
+/** Returns a small, complete document of the service `redactor`. */
 export function serviceDocument({
   sidecarAddresses,
   keys,
   models = ['notice-1'],
-}: Choices): object {
+}: DocumentOptions): object {
   const keyHashes = keys.map((key) => createHash('sha256').update(key).digest('hex'));
   const upstreams = sidecarAddresses.map((sidecarAddress, index) => ({
     id: `redactor-${index + 1}`,
--- a/test/support/session.ts
+++ b/test/support/session.ts
@@ -5,26 +5,26 @@
 
 const ROOT = join(import.meta.dirname, '..', '..', '..', 'test', 'golden');
 
-/** One event of a golden session, at a time of the virtual clock. */
-export interface Happening<Event> {
+/** An event of a golden session, at a time of the virtual clock. */
+export interface TimedEvent<Event> {
   readonly atMs: Ms;
   readonly event: Event;
 }
 
 /**
- * Drives a core through a whole session and compares the effects with test/golden/NAME.jsonl: one line
- * an event, `{ atMs, event, effects }`. `npm run golden` writes the files anew; read the difference.
+ * Applies a session of events to a core and compares the effects with test/golden/NAME.jsonl, which has one line
+ * `{ atMs, event, effects }` per event. `npm run golden` rewrites the files; review the diff before committing it.
  */
 export function session<State, Event, Effect>(
   t: ExecutionContext,
   name: string,
   step: Step<State, Event, Effect>,
   start: State,
-  happenings: readonly Happening<Event>[],
+  timedEvents: readonly TimedEvent<Event>[],
 ): State {
   let state = start;
   let lines = '';
-  for (const { atMs, event } of happenings) {
+  for (const { atMs, event } of timedEvents) {
     const change = step(state, event, atMs);
     state = change.state;
     lines += `${JSON.stringify({ atMs, event, effects: change.effects })}\n`;
--- a/test/support/transcript.ts
+++ b/test/support/transcript.ts
@@ -5,10 +5,10 @@
 
 const ROOT = join(import.meta.dirname, '..', '..', '..', 'test', 'golden');
 
-/** Headers that tell callers something and are the same in each run. */
-const SHOWN = ['content-type', 'retry-after', 'connection', 'x-request-id'];
+/** Headers that matter to callers and do not vary between runs. */
+const RECORDED_HEADERS = ['content-type', 'retry-after', 'connection', 'x-request-id'];
 
-/** A whole session as callers saw it, compared with test/golden/NAME.jsonl: one line a thing seen. */
+/** Records what callers observe in a session and compares it with test/golden/NAME.jsonl, one line per observation. */
 export class Transcript {
   private lines = '';
 
@@ -16,18 +16,21 @@
     this.lines += `${JSON.stringify({ what, seen })}\n`;
   }
 
-  /** Notes an answer; the request's id, which differs in each run, is put as REQUEST. */
+  /** Records an answer and returns its body, with the request id, which varies between runs, replaced by REQUEST. */
   async answer(what: string, answer: Dispatcher.ResponseData): Promise<string> {
     const requestId = String(answer.headers['x-request-id']);
     const body = (await answer.body.text()).replaceAll(requestId, 'REQUEST');
-    const shown = Object.entries(answer.headers).filter(([name]) => SHOWN.includes(name));
+    const recorded = Object.entries(answer.headers).filter(([name]) =>
+      RECORDED_HEADERS.includes(name),
+    );
     const headers = Object.fromEntries(
-      shown.map(([name, value]) => [name, String(value).replace(requestId, 'REQUEST')]),
+      recorded.map(([name, value]) => [name, String(value).replace(requestId, 'REQUEST')]),
     );
     this.note(what, { status: answer.statusCode, headers, body });
     return body;
   }
 
+  /** Compares the record with the golden file. */
   check(t: ExecutionContext, name: string): void {
     const file = join(ROOT, `${name}.jsonl`);
     if (process.env.UPDATE_GOLDEN) writeFileSync(file, this.lines);
--- a/test/tally.test.ts
+++ b/test/tally.test.ts
@@ -1,18 +1,22 @@
 import test from 'ava';
 import { request } from 'undici';
-import type { Asked } from '../demo/load/asked.js';
+import type { RequestRecord } from '../demo/load/requestrecord.js';
 import type { Outcome } from '../demo/load/outcome.js';
-import { problemOf } from '../demo/load/problemof.js';
+import { outcomeOfProblem } from '../demo/load/outcomeofproblem.js';
 import { tally } from '../demo/load/tally.js';
 import { FakeService } from '../standin/index.js';
 
-function asked(id: string, type: Outcome['type'], fields: Partial<Asked> = {}): Asked {
+function requestRecord(
+  id: string,
+  type: Outcome['type'],
+  fields: Partial<RequestRecord> = {},
+): RequestRecord {
   const outcomes = [{ type, tookMs: 1 }];
   return { id, kind: 'confirm', outcomes, tookMs: 1, falseNotRun: false, ...fields };
 }
 
-/** Counts a load against a plain service that did each of these, in this order. */
-async function counted(done: readonly string[], records: readonly Asked[]) {
+/** Tallies records against a plain service that has run the business keys in `done`. */
+async function counted(done: readonly string[], records: readonly RequestRecord[]) {
   const service = new FakeService({ serviceMs: 0 });
   const url = await service.listen();
   for (const transferId of done) {
@@ -24,32 +28,43 @@
   return tally(records, { engines: [], services: [service], runs });
 }
 
-test('what was done twice, and what was confirmed but never done, is counted', async (t) => {
-  const told = [asked('a', 'answered'), asked('b', 'answered'), asked('c', 'answered')];
-  t.like(await counted(['a', 'b', 'b'], told), { answered: 3, doubled: 1, lost: 1 });
+test('counts confirmations that ran twice, and answered confirmations that never ran', async (t) => {
+  const records = [
+    requestRecord('a', 'answered'),
+    requestRecord('b', 'answered'),
+    requestRecord('c', 'answered'),
+  ];
+  t.like(await counted(['a', 'b', 'b'], records), { answered: 3, doubled: 1, lost: 1 });
 });
 
-test('a refusal that promised "not run" is held to it to the end', async (t) => {
-  const told = [asked('a', 'refused'), asked('b', 'refused'), asked('c', 'unknown')];
-  t.like(await counted(['a', 'c'], told), { refused: 2, unknown: 1, falseNotRun: 1 });
-  const early = asked('d', 'answered', { falseNotRun: true });
+test('counts a refusal as false if the request has run, at the refusal or by the end', async (t) => {
+  const records = [
+    requestRecord('a', 'refused'),
+    requestRecord('b', 'refused'),
+    requestRecord('c', 'unknown'),
+  ];
+  t.like(await counted(['a', 'c'], records), { refused: 2, unknown: 1, falseNotRun: 1 });
+  const early = requestRecord('d', 'answered', { falseNotRun: true });
   t.like(await counted(['d'], [early]), { falseNotRun: 1 });
 });
 
-test('no answer and a broken answer are counted apart', async (t) => {
-  t.like(await counted([], [asked('a', 'lost'), asked('b', 'cut')]), { lost: 1, cut: 1 });
+test('counts missing answers and cut answers separately', async (t) => {
+  t.like(await counted([], [requestRecord('a', 'lost'), requestRecord('b', 'cut')]), {
+    lost: 1,
+    cut: 1,
+  });
 });
 
-test('only a right answer in time attains its weight', async (t) => {
-  const late = asked('b', 'answered', { tookMs: 5000 });
-  const told = [asked('a', 'answered'), late, asked('c', 'refused')];
-  t.is((await counted(['a', 'b'], told)).attained, 5);
+test('only a correct answer within its deadline attains its weight', async (t) => {
+  const late = requestRecord('b', 'answered', { tookMs: 5000 });
+  const records = [requestRecord('a', 'answered'), late, requestRecord('c', 'refused')];
+  t.is((await counted(['a', 'b'], records)).attained, 5);
 });
 
-test('an end without a problem document is a cut, not a refusal', (t) => {
+test('an error answer without a problem document counts as cut, not as a refusal', (t) => {
   const problem = { type: 'urn:tarragonstile:no-upstream', executed: 'no', requestId: 'r' };
-  t.like(problemOf(JSON.stringify(problem), 1), { type: 'refused', reason: 'no-upstream' });
-  t.is(problemOf(JSON.stringify({ executed: 'unknown' }), 1).type, 'unknown');
-  t.is(problemOf('<html>', 1).type, 'cut');
-  t.is(problemOf('{}', 1).type, 'cut');
+  t.like(outcomeOfProblem(JSON.stringify(problem), 1), { type: 'refused', reason: 'no-upstream' });
+  t.is(outcomeOfProblem(JSON.stringify({ executed: 'unknown' }), 1).type, 'unknown');
+  t.is(outcomeOfProblem('<html>', 1).type, 'cut');
+  t.is(outcomeOfProblem('{}', 1).type, 'cut');
 });
